--- a/packages/gateway/src/agents/createAgentLink.ts
+++ b/packages/gateway/src/agents/createAgentLink.ts
@@ -2,7 +2,7 @@
 import { HEARTBEAT_MS, openLink, packMessage } from '@figmount/peers'
 
 import { GatewayEvent } from '../events.js'
-import { CATCH_UP_MS, FIRST_REDIAL_MS, HELD_UP_MS, LAST_REDIAL_MS } from './constants.js'
+import { STALE_DELIVERY_MS, MIN_RECONNECT_DELAY_MS, DELAYED_AFTER_MS, MAX_RECONNECT_DELAY_MS } from './constants.js'
 
 import type { AgentMessage, AgentState, RouterMessage } from '@figmount/fleet'
 import type { Link, LinkContext, PackedMessage } from '@figmount/peers'
@@ -28,8 +28,8 @@
   let isNew = false
   let nextWantId = 1
   let lastSentMs = -Infinity
-  let heardMs = -Infinity
-  let mayBeOldUntilMs = -Infinity
+  let lastReceivedMs = -Infinity
+  let mayBeStaleUntilMs = -Infinity
 
   const sendPacked = (message: PackedMessage<RouterMessage>): void => {
     if (!link) return
@@ -75,14 +75,14 @@
     handlers.takeState(serverAddress, next)
   }
 
-  const noteHeard = (): void => {
+  const noteReceived = (): void => {
     const nowMs = timers.nowMs()
-    if (nowMs - heardMs > HELD_UP_MS) mayBeOldUntilMs = nowMs + CATCH_UP_MS
-    heardMs = nowMs
+    if (nowMs - lastReceivedMs > DELAYED_AFTER_MS) mayBeStaleUntilMs = nowMs + STALE_DELIVERY_MS
+    lastReceivedMs = nowMs
   }
 
   const take = (message: AgentMessage): void => {
-    noteHeard()
+    noteReceived()
     if (message.type === 'state') return takeState(message)
     if (message.type === 'stateChange') {
       if (state) takeState({ ...state, ...message.changes })
@@ -91,7 +91,7 @@
     if (message.type === 'load') return handlers.takeLoad(serverAddress, message)
     if (message.type === 'wantSettled') return settle(message.wantId, message)
     if (message.type === 'relay') return handlers.takeRelay(message)
-    if (message.type === 'listRead') return handlers.takeListRead(message, timers.nowMs() < mayBeOldUntilMs)
+    if (message.type === 'listRead') return handlers.takeListRead(message, timers.nowMs() < mayBeStaleUntilMs)
     if (message.type === 'unitsAnswered') return handlers.takeUnits(serverAddress, message)
     if (message.type !== 'crash') return
     for (const crash of message.crashes) handlers.takeCrash(crash)
@@ -110,17 +110,17 @@
   }
 
   const keepOpen = async (): Promise<void> => {
-    let redialMs = FIRST_REDIAL_MS
+    let reconnectDelayMs = MIN_RECONNECT_DELAY_MS
     while (!closing.signal.aborted) {
       const opened = await openLink<RouterMessage, AgentMessage>(agentAddress, context).run()
       const open = opened.toMaybe().extractNullable()
       if (open && closing.signal.aborted) return open.close('no longer needed')
       if (open) {
-        redialMs = FIRST_REDIAL_MS
+        reconnectDelayMs = MIN_RECONNECT_DELAY_MS
         await serve(open)
       }
-      await sleep(timers, redialMs, closing.signal)
-      redialMs = Math.min(LAST_REDIAL_MS, redialMs * 2)
+      await sleep(timers, reconnectDelayMs, closing.signal)
+      reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * 2)
     }
   }
 
@@ -140,12 +140,12 @@
     },
     sendPacked,
     isOpen: () => link !== undefined,
-    takeNewness: () => {
+    takeIsNew: () => {
       const wasNew = isNew
       isNew = false
       return wasNew
     },
-    hasSpoken: () => state !== undefined,
+    hasState: () => state !== undefined,
     close: () => {
       closing.abort()
       stopHeartbeat()
--- a/packages/gateway/src/agents/createAgentLinks.test.ts
+++ b/packages/gateway/src/agents/createAgentLinks.test.ts
@@ -5,7 +5,7 @@
 
 import { makeAgentState } from '../testing/makeAgentState.js'
 
-import { CATCH_UP_MS, HELD_UP_MS } from './constants.js'
+import { STALE_DELIVERY_MS, DELAYED_AFTER_MS } from './constants.js'
 import { createAgentLinks } from './createAgentLinks.js'
 
 import type { AddressInfo } from 'node:net'
@@ -82,9 +82,9 @@
   it('are not reached before the first one is known', () => {
     // Guards against a router that is ready before it can ask any agent.
     const { links } = setUp()
-    expect(links.isReached()).to.equal(false)
+    expect(links.isReady()).to.equal(false)
     links.follow([ENTRY], () => true)
-    expect(links.isReached()).to.equal(false)
+    expect(links.isReady()).to.equal(false)
     links.close()
   })
 
@@ -92,10 +92,10 @@
     // Guards against a second load by a router that knows half of the engines.
     const { links, heard, tell, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.send({ type: 'heartbeat' }) ?? false)
-    expect(links.isReached()).to.equal(false)
+    expect(links.isReady()).to.equal(false)
     await until(() => {
       tell()
-      return links.isReached()
+      return links.isReady()
     })
     for (const type of heard) expect(type).to.equal('heartbeat')
     close()
@@ -106,11 +106,11 @@
     const { timers, links, tell, passOn, readsMayBeOld, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.isOpen() ?? false)
     const stopTelling = timers.every(100, tell)
-    await wait(CATCH_UP_MS + 300)
+    await wait(STALE_DELIVERY_MS + 300)
     passOn()
     await until(() => readsMayBeOld.length === 1)
     stopTelling()
-    await wait(HELD_UP_MS + 100)
+    await wait(DELAYED_AFTER_MS + 100)
     tell()
     passOn()
     await until(() => readsMayBeOld.length === 2)
--- a/packages/gateway/src/agents/createAgentLinks.ts
+++ b/packages/gateway/src/agents/createAgentLinks.ts
@@ -1,6 +1,6 @@
 import { packMessage } from '@figmount/peers'
 
-import { REACHED_SHARE, RELAY_COUNT, UNLISTED_MS } from './constants.js'
+import { READY_AGENT_SHARE, RELAY_COUNT, UNLISTED_TIMEOUT_MS } from './constants.js'
 import { createAgentLink } from './createAgentLink.js'
 
 import type { RouterMessage, ServerEntry } from '@figmount/fleet'
@@ -26,7 +26,7 @@
   /** Engine addresses of the agents that answer. */
   readonly openAddresses: () => readonly string[]
   /** Nearly all agents have told their engines' state; false before the first one is known. */
-  readonly isReached: () => boolean
+  readonly isReady: () => boolean
   readonly close: () => void
 }
 
@@ -56,7 +56,7 @@
         if (!links.has(entry.address)) open(entry.address)
       }
       for (const [address, atMs] of [...listedMs]) {
-        if (nowMs - atMs > UNLISTED_MS) drop(address)
+        if (nowMs - atMs > UNLISTED_TIMEOUT_MS) drop(address)
       }
     },
     find: serverAddress => links.get(serverAddress),
@@ -65,7 +65,7 @@
       const packed = new Map<RouterMessage, PackedMessage<RouterMessage>>()
       for (const [serverAddress, link] of links) {
         if (!link.isOpen()) continue
-        const message = messageFor(serverAddress, link.takeNewness())
+        const message = messageFor(serverAddress, link.takeIsNew())
         if (!message) continue
         const known = packed.get(message) ?? packMessage(context, message)
         packed.set(message, known)
@@ -80,10 +80,10 @@
       }
     },
     openAddresses: () => [...links].filter(([, link]) => link.isOpen()).map(([address]) => address),
-    isReached: () => {
-      let spokenCount = 0
-      for (const link of links.values()) spokenCount += Number(link.hasSpoken())
-      return spokenCount > 0 && spokenCount >= links.size * REACHED_SHARE
+    isReady: () => {
+      let readyCount = 0
+      for (const link of links.values()) readyCount += Number(link.hasState())
+      return readyCount > 0 && readyCount >= links.size * READY_AGENT_SHARE
     },
     close: () => {
       for (const link of links.values()) link.close()
--- a/packages/gateway/src/agents/types.ts
+++ b/packages/gateway/src/agents/types.ts
@@ -35,7 +35,7 @@
   readonly takeLoad: (address: string, load: AgentLoad) => void
   readonly takeRelay: (relay: Relay) => void
   /** `mayBeOld`: it may have been held up on its way for longer than it says. */
-  readonly takeListRead: (read: ListRead, mayBeOld: boolean) => void
+  readonly takeListRead: (read: ListRead, mayBeStale: boolean) => void
   readonly takeCrash: (crash: Crash) => void
   readonly takeUnits: (address: string, answer: UnitsAnswered) => void
   readonly lost: (address: string) => void
@@ -48,8 +48,8 @@
   readonly sendPacked: (message: PackedMessage<RouterMessage>) => void
   readonly isOpen: () => boolean
   /** True at the first call after each opening of the link. */
-  readonly takeNewness: () => boolean
+  readonly takeIsNew: () => boolean
   /** The agent has told its engine's state since the link was opened. */
-  readonly hasSpoken: () => boolean
+  readonly hasState: () => boolean
   readonly close: () => void
 }
--- a/packages/gateway/src/demand/createDemandMeter.ts
+++ b/packages/gateway/src/demand/createDemandMeter.ts
@@ -4,7 +4,7 @@
 import type { ModelDemand } from '@figmount/fleet'
 
 /** Models with less than this many requests a second have no demand to tell of. */
-const LEAST_REQUESTS_PER_S = 0.01
+const MIN_REQUESTS_PER_S = 0.01
 
 const MS_PER_S = 1_000
 
@@ -41,13 +41,13 @@
 export const createDemandMeter = (timers: TimerService): DemandMeter => {
   const meters = new Map<string, ModelMeter>()
 
-  const fresh = (nowMs: number): ModelMeter =>
+  const newMeter = (nowMs: number): ModelMeter =>
     ({ requests: 0, promptTokens: 0, asOfMs: nowMs, lastMs: nowMs, adapterNames: new Set(), isNew: true })
 
   return {
     note: (modelName, adapterName, promptTokens) => {
       const nowMs = timers.nowMs()
-      const meter = decayed(meters.get(modelName) ?? fresh(nowMs), nowMs)
+      const meter = decayed(meters.get(modelName) ?? newMeter(nowMs), nowMs)
       meters.set(modelName, {
         ...meter,
         requests: meter.requests + 1,
@@ -67,7 +67,7 @@
       for (const [modelName, stored] of [...meters]) {
         const meter = decayed(stored, nowMs)
         const requestsPerS = meter.requests / DEMAND_MEMORY_MS * MS_PER_S
-        if (requestsPerS < LEAST_REQUESTS_PER_S) {
+        if (requestsPerS < MIN_REQUESTS_PER_S) {
           meters.delete(modelName)
           continue
         }
--- a/packages/gateway/src/demand/createUnmetBook.test.ts
+++ b/packages/gateway/src/demand/createUnmetModels.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai'
 import { createVirtualTimers } from '@figmount/base'
 
-import { createUnmetBook } from './createUnmetBook.js'
+import { createUnmetModels } from './createUnmetModels.js'
 
 describe('a model that is asked for in vain', () => {
   it('is remembered over one caller after another', () => {
     const timers = createVirtualTimers()
-    const unmet = createUnmetBook(timers)
+    const unmet = createUnmetModels(timers)
     expect(unmet.note('m')).to.equal(0)
     timers.advance(4_000)
     expect(unmet.note('m')).to.equal(4_000)
@@ -17,7 +17,7 @@
 
   it('counts anew once it was served', () => {
     const timers = createVirtualTimers()
-    const unmet = createUnmetBook(timers)
+    const unmet = createUnmetModels(timers)
     unmet.note('m')
     timers.advance(3_000)
     unmet.settle('m')
@@ -26,7 +26,7 @@
 
   it('counts anew when nobody came back', () => {
     const timers = createVirtualTimers()
-    const unmet = createUnmetBook(timers)
+    const unmet = createUnmetModels(timers)
     unmet.note('m')
     timers.advance(10_000)
     expect(unmet.note('m')).to.equal(0)
--- a/packages/gateway/src/demand/createUnmetBook.ts
+++ b/packages/gateway/src/demand/createUnmetModels.ts
@@ -9,7 +9,7 @@
 }
 
 /** Models that a router's callers ask for again and again without being served. */
-export interface UnmetBook {
+export interface UnmetModels {
   /** Notes that a request finds no engine with the model; the time for which requests have found none. */
   readonly note: (modelName: string) => number
   /** An engine holds the model. */
@@ -23,16 +23,16 @@
  * with its time; counted anew for each caller it never reached what the busy models of an engine cost, and the model was asked
  * for over eight seconds without being loaded once.
  */
-export const createUnmetBook = (timers: TimerService): UnmetBook => {
-  const unmet = new Map<string, Unmet>()
+export const createUnmetModels = (timers: TimerService): UnmetModels => {
+  const unmetModels = new Map<string, Unmet>()
   return {
     note: modelName => {
       const nowMs = timers.nowMs()
-      const known = unmet.get(modelName)
+      const known = unmetModels.get(modelName)
       const sinceMs = known && nowMs - known.lastMs < FORGET_MS ? known.sinceMs : nowMs
-      unmet.set(modelName, { sinceMs, lastMs: nowMs })
+      unmetModels.set(modelName, { sinceMs, lastMs: nowMs })
       return nowMs - sinceMs
     },
-    settle: modelName => { unmet.delete(modelName) }
+    settle: modelName => { unmetModels.delete(modelName) }
   }
 }
--- a/packages/gateway/src/directory/createDepartures.ts
+++ b/packages/gateway/src/directory/createDepartures.ts
@@ -4,10 +4,10 @@
 import type { ServerStart } from '@figmount/fleet'
 
 /** Longer than any request runs on at a server that leaves or has died. */
-const KEPT_MS = 60_000
+const RETENTION_MS = 60_000
 
 /** A server that is known to leave for at least this long ends by itself: it serves on for a second or more after its notice. */
-const ORDERLY_END_MS = 500
+const GRACEFUL_EXIT_MS = 500
 
 /** A server that drains, or is no longer listed. */
 interface Departure {
@@ -26,7 +26,7 @@
   /** Where a server was that drains or is no longer listed. */
   readonly addressOf: (serverId: string) => string | undefined
   /** The start ended, as a run there shows that broke off then, after it had been known to leave. */
-  readonly hasEndedInOrder: (start: ServerStart, brokenMs: number) => boolean
+  readonly hasExitedGracefully: (start: ServerStart, brokenMs: number) => boolean
 }
 
 /** Makes the departures that one router knows of. */
@@ -36,7 +36,7 @@
 
   // Entries of both stand in the order of their times.
   const trim = (): void => {
-    const oldestMs = timers.nowMs() - KEPT_MS
+    const oldestMs = timers.nowMs() - RETENTION_MS
     for (const [serverId, { atMs }] of departures) {
       if (atMs > oldestMs) break
       departures.delete(serverId)
@@ -61,11 +61,11 @@
     },
     forget: serverId => { departures.delete(serverId) },
     addressOf: serverId => departures.get(serverId)?.address,
-    hasEndedInOrder: (start, brokenMs) => {
+    hasExitedGracefully: (start, brokenMs) => {
       const departure = departures.get(start.serverId)
       if (!departure) return false
       const endedMs = Math.min(brokenMs, goneMs.get(startKeyOf(start)) ?? Infinity)
-      return endedMs - departure.atMs >= ORDERLY_END_MS
+      return endedMs - departure.atMs >= GRACEFUL_EXIT_MS
     }
   }
 }
--- a/packages/gateway/src/directory/createDirectory.test.ts
+++ b/packages/gateway/src/directory/createDirectory.test.ts
@@ -36,8 +36,8 @@
     events: createEventLog({ instance: 'r' as InstanceName, role: 'router', timers, writeLine: line => { lines.push(line) } }),
     decodeServer: (key, bytes) => Either.encase(() => JSON.parse(Buffer.from(bytes).toString()) as ServerEntry)
       .mapLeft(error => makeFault('invalid', 'decode', key, error.message)),
-    isServiceNamed: name => name === 's',
-    entryTaken: () => {}
+    isServiceConfigured: name => name === 's',
+    onEntry: () => {}
   })
   return {
     timers,
@@ -59,9 +59,9 @@
     // Guards against the loss of all servers whose entries lapse in an outage.
     const { timers, directory, ids } = setUp()
     directory.takeRecords([listed('a'), listed('b')])
-    directory.lapses.noteOutage()
+    directory.missingEntries.noteOutage()
     timers.advance(8_000)
-    directory.lapses.noteRegained()
+    directory.missingEntries.noteRegained()
     directory.takeKeys(new Set())
     expect(ids()).to.deep.equal(['a', 'b'])
     timers.advance(1_500)
@@ -72,16 +72,16 @@
 
   it('knows when an agent was last heard', () => {
     const { timers, directory } = setUp()
-    expect(directory.heardMs(ADDRESS)).to.equal(-Infinity)
+    expect(directory.lastMessageMs(ADDRESS)).to.equal(-Infinity)
     timers.advance(100)
     directory.takeState(ADDRESS, makeAgentState('a'))
     timers.advance(100)
-    const stateMs = directory.heardMs(ADDRESS)
+    const stateMs = directory.lastMessageMs(ADDRESS)
     directory.takeLoad(ADDRESS, {} as AgentLoad)
-    expect(directory.heardMs(ADDRESS)).to.equal(timers.nowMs())
-    expect(directory.heardMs(ADDRESS) - stateMs).to.equal(100)
+    expect(directory.lastMessageMs(ADDRESS)).to.equal(timers.nowMs())
+    expect(directory.lastMessageMs(ADDRESS) - stateMs).to.equal(100)
     directory.loseAgent(ADDRESS)
-    expect(directory.heardMs(ADDRESS)).to.equal(-Infinity)
+    expect(directory.lastMessageMs(ADDRESS)).to.equal(-Infinity)
   })
 
   it('uses no server whose entry cannot be read, until it can', () => {
--- a/packages/gateway/src/directory/createDirectory.ts
+++ b/packages/gateway/src/directory/createDirectory.ts
@@ -4,20 +4,20 @@
 import { GatewayEvent } from '../events.js'
 import { MAX_REFUSED_KEYS } from './constants.js'
 import { createDepartures } from './createDepartures.js'
-import { createLapses } from './createLapses.js'
+import { createMissingEntries } from './createMissingEntries.js'
 import { createOwnRequests } from './createOwnRequests.js'
-import { createPrefixMemory } from './createPrefixMemory.js'
+import { createPrefixIndex } from './createPrefixIndex.js'
 
 import type { EventLog, Fault, TimerService } from '@figmount/base'
 import type { FailureShare } from '@figmount/decisions'
 import type { AgentLoad, AgentState, FeedRecord, ServerEntry, ServerStart, StorePort } from '@figmount/fleet'
 import type { Directory, KnownServer, StateListener } from './types.js'
 
-interface AgentWord {
+interface AgentReport {
   readonly state: AgentState | undefined
   readonly load: AgentLoad | undefined
   readonly stateAsOfMs: number
-  readonly heardMs: number
+  readonly lastMessageMs: number
 }
 
 interface Options {
@@ -25,26 +25,26 @@
   readonly events: EventLog
   readonly decodeServer: StorePort['decodeServer']
   /** The configuration in force names the service. */
-  readonly isServiceNamed: (serviceName: string) => boolean
-  readonly entryTaken: (entry: ServerEntry) => void
+  readonly isServiceConfigured: (serviceName: string) => boolean
+  readonly onEntry: (entry: ServerEntry) => void
 }
 
-const NO_WORD: AgentWord = { state: undefined, load: undefined, stateAsOfMs: -Infinity, heardMs: -Infinity }
+const NO_REPORT: AgentReport = { state: undefined, load: undefined, stateAsOfMs: -Infinity, lastMessageMs: -Infinity }
 
 /** Makes the directory of one router. */
-export const createDirectory = ({ timers, events, decodeServer, isServiceNamed, entryTaken }: Options): Directory => {
+export const createDirectory = ({ timers, events, decodeServer, isServiceConfigured, onEntry }: Options): Directory => {
   const entries = new Map<string, ServerEntry>()
   const newestStarts = new Map<string, ServerStart>()
-  const words = new Map<string, AgentWord>()
+  const reports = new Map<string, AgentReport>()
   const failures = new Map<string, FailureShare>()
   const own = createOwnRequests()
   const departures = createDepartures(timers)
   const stateListeners = new Set<StateListener>()
   const replaced = new Set<string>()
-  const prefixes = createPrefixMemory()
+  const prefixes = createPrefixIndex()
   const refusedKeys = new Set<string>()
   const leavingAddresses = new Set<string>()
-  let isKnown = false
+  let isListRead = false
 
   const startOf = (serverId: string): ServerStart => newestStarts.get(serverId) ?? { serverId, startedAtUnixMs: undefined }
 
@@ -64,7 +64,7 @@
     events.emit(GatewayEvent.serverLeft, { peer: serverId, reason })
   }
 
-  const lapses = createLapses(timers, remove)
+  const missingEntries = createMissingEntries(timers, remove)
 
   // Guards against a server that starts again under its id: it holds nothing of before, and what failed, ran or was kept
   // there is no longer so. Seen by the id alone it would get requests for what it held, and streams that ran at the start
@@ -82,30 +82,30 @@
 
   // The agent sees its engine's starts in their order, whatever the engine's clock says: one that it tells to be gone is no
   // later than the one that it names. Its word may also be older than the list, and then tells of no restart.
-  const isOlderWord = (state: AgentState, start: ServerStart): boolean =>
+  const isStaleReport = (state: AgentState, start: ServerStart): boolean =>
     isEarlierStart(state, start) && !state.goneStarts.some(gone => isSameStart(gone, start))
 
-  const noteWord = (state: AgentState): void => {
-    if (entries.has(state.serverId) && !isOlderWord(state, startOf(state.serverId))) noteStart(state)
+  const noteReport = (state: AgentState): void => {
+    if (entries.has(state.serverId) && !isStaleReport(state, startOf(state.serverId))) noteStart(state)
   }
 
   const takeEntry = (entry: ServerEntry): void => {
     const known = entries.get(entry.serverId)
     // An entry is seconds old at times and may be of the start before the one that the agent has told of.
     if (!isEarlierStart(entry, startOf(entry.serverId))) noteStart(entry)
-    lapses.noteListed(entry.serverId)
+    missingEntries.noteListed(entry.serverId)
     entries.set(entry.serverId, entry)
     if (!known) departures.forget(entry.serverId)
     if (entry.isDraining) departures.note(entry.serverId, entry.address)
     if (!known) events.emit(GatewayEvent.serverTaken, { peer: entry.serverId, service: entry.serviceName, detail: entry.address })
     if (!known?.isDraining && entry.isDraining) events.emit(GatewayEvent.serverLeft, { peer: entry.serverId, reason: 'listed as draining' })
-    entryTaken(entry)
+    onEntry(entry)
   }
 
   // Guards against an entry that another program wrote, or that was written over: what it names is not known, so requests
   // must not go there, also not by what the key named before. A server's next own entry brings it back.
   const refuseEntry = (fault: Fault, { key, offset }: FeedRecord): void => {
-    lapses.noteListed(key)
+    missingEntries.noteListed(key)
     remove(key, 'its entry cannot be read')
     if (refusedKeys.has(key) || refusedKeys.size >= MAX_REFUSED_KEYS) return
     refusedKeys.add(key)
@@ -115,7 +115,7 @@
   const takeRecord = (record: FeedRecord): void => {
     if (!record.value) {
       refusedKeys.delete(record.key)
-      return lapses.noteMissing(record.key)
+      return missingEntries.noteMissing(record.key)
     }
     decodeServer(record.key, record.value).caseOf({
       Left: fault => { refuseEntry(fault, record) },
@@ -127,7 +127,7 @@
   }
 
   // A start that its agent names again is not gone, though one before it under the same id is.
-  const isGone = ({ state }: AgentWord, start: ServerStart): boolean => {
+  const isGone = ({ state }: AgentReport, start: ServerStart): boolean => {
     if (!state || state.serverId === start.serverId) return false
     if (state.serverId !== '') return true
     for (const gone of state.goneStarts) {
@@ -138,27 +138,27 @@
 
   // The list may lose a server before its agent tells of the death, or between the agent's word and a look at it.
   const isDeadUnlisted = (start: ServerStart): boolean => {
-    const word = words.get(departures.addressOf(start.serverId) ?? '') ?? NO_WORD
-    const { state } = word
+    const report = reports.get(departures.addressOf(start.serverId) ?? '') ?? NO_REPORT
+    const { state } = report
     if (!state) return false
     if (isSameStart(state, start)) return !state.isUp
-    return state.serverId === start.serverId ? !isOlderWord(state, start) : isGone(word, start)
+    return state.serverId === start.serverId ? !isStaleReport(state, start) : isGone(report, start)
   }
 
   const view = (entry: ServerEntry): KnownServer => {
-    const word = words.get(entry.address) ?? NO_WORD
+    const report = reports.get(entry.address) ?? NO_REPORT
     const start = startOf(entry.serverId)
-    const isReplaced = isGone(word, entry)
+    const isReplaced = isGone(report, entry)
     // The list may tell of a restart before the agent does: what the agent said until then is of the start before.
-    const speaksForIt = !isReplaced && word.state !== undefined && (word.state.serverId === '' || isSameStart(word.state, start))
+    const isReportOfStart = !isReplaced && report.state !== undefined && (report.state.serverId === '' || isSameStart(report.state, start))
     const load = own.loadAt(start)
     return {
       entry: isSameStart(entry, start) ? entry : { ...entry, models: [] },
       start,
-      state: speaksForIt ? word.state : undefined,
-      load: speaksForIt ? word.load : undefined,
+      state: isReportOfStart ? report.state : undefined,
+      load: isReportOfStart ? report.load : undefined,
       isReplaced: isReplaced || replaced.has(entry.serverId),
-      stateAsOfMs: word.stateAsOfMs,
+      stateAsOfMs: report.stateAsOfMs,
       failures: failures.get(entry.serverId) ?? noFailures(timers.nowMs()),
       ownCount: load.count,
       ownStartingCount: load.startingCount,
@@ -172,38 +172,38 @@
   }
 
   // An entry of a service that is not named yet is kept: a later configuration may name it.
-  const namedEntries = (): readonly ServerEntry[] => [...entries.values()].filter(entry => isServiceNamed(entry.serviceName))
+  const configuredEntries = (): readonly ServerEntry[] => [...entries.values()].filter(entry => isServiceConfigured(entry.serviceName))
 
   return {
     takeRecords: records => {
-      lapses.settle()
+      missingEntries.settle()
       for (const record of records) takeRecord(record)
-      isKnown = true
+      isListRead = true
     },
     takeKeys: keys => {
       for (const serverId of [...entries.keys()]) {
-        if (!keys.has(serverId)) lapses.noteMissing(serverId)
+        if (!keys.has(serverId)) missingEntries.noteMissing(serverId)
       }
-      isKnown = true
+      isListRead = true
     },
-    lapses,
+    missingEntries,
     takeState: (address, state) => {
-      const word = words.get(address) ?? NO_WORD
-      words.set(address, { ...word, state, stateAsOfMs: timers.nowMs(), heardMs: timers.nowMs() })
-      noteWord(state)
-      if (state.goneStarts !== word.state?.goneStarts) departures.noteGone(state.goneStarts)
+      const report = reports.get(address) ?? NO_REPORT
+      reports.set(address, { ...report, state, stateAsOfMs: timers.nowMs(), lastMessageMs: timers.nowMs() })
+      noteReport(state)
+      if (state.goneStarts !== report.state?.goneStarts) departures.noteGone(state.goneStarts)
       if (state.isDraining) departures.note(state.serverId, address)
       if (state.leavingModels.length > 0) leavingAddresses.add(address)
       else leavingAddresses.delete(address)
-      prefixes.keepOnly(state.serverId, new Set(state.models.map(model => model.name)))
+      prefixes.retainModels(state.serverId, new Set(state.models.map(model => model.name)))
       for (const listener of [...stateListeners]) listener(address, state)
     },
     takeLoad: (address, load) => {
-      const word = words.get(address) ?? NO_WORD
-      words.set(address, { ...word, load, heardMs: timers.nowMs() })
+      const report = reports.get(address) ?? NO_REPORT
+      reports.set(address, { ...report, load, lastMessageMs: timers.nowMs() })
     },
     loseAgent: address => {
-      words.delete(address)
+      reports.delete(address)
       leavingAddresses.delete(address)
     },
     leavingAddresses: () => leavingAddresses,
@@ -213,7 +213,7 @@
       return () => { stateListeners.delete(listener) }
     },
     serving: serviceName => {
-      lapses.settle()
+      missingEntries.settle()
       const servers: KnownServer[] = []
       for (const entry of entries.values()) {
         if (entry.serviceName !== serviceName) continue
@@ -233,10 +233,10 @@
       const server = view(entry)
       return server.isReplaced || server.state?.isUp === false
     },
-    hasEndedInOrder: departures.hasEndedInOrder,
-    entries: namedEntries,
-    heardMs: address => (words.get(address) ?? NO_WORD).heardMs,
-    starts: () => namedEntries().map(entry => startOf(entry.serverId)),
+    hasExitedGracefully: departures.hasExitedGracefully,
+    entries: configuredEntries,
+    lastMessageMs: address => (reports.get(address) ?? NO_REPORT).lastMessageMs,
+    starts: () => configuredEntries().map(entry => startOf(entry.serverId)),
     failureShareOf: server => failureShareAt(server.failures, timers.nowMs()),
     runningModels: address => {
       const names: string[] = []
@@ -257,6 +257,6 @@
       if (isSameStart(start, startOf(start.serverId))) replaced.add(start.serverId)
     },
     prefixes,
-    isKnown: () => isKnown
+    hasList: () => isListRead
   }
 }
--- a/packages/gateway/src/directory/createLapses.ts
+++ b/packages/gateway/src/directory/createMissingEntries.ts
@@ -8,7 +8,7 @@
  * Guards against the loss of every server after an outage of the store: entries lapse while servers cannot write there, and
  * come back within two seconds of its return. Until then a missing entry proves nothing.
  */
-export interface Lapses {
+export interface MissingEntries {
   readonly noteOutage: () => void
   readonly noteRegained: () => void
   /** Another router has seen an outage: its missing entries prove nothing for this time. */
@@ -23,12 +23,12 @@
 }
 
 /** Makes the lapses of one router's list. */
-export const createLapses = (timers: TimerService, remove: (serverId: string, reason: string) => void): Lapses => {
+export const createMissingEntries = (timers: TimerService, remove: (serverId: string, reason: string) => void): MissingEntries => {
   const missing = new Set<string>()
-  let isAway = false
+  let isStoreDown = false
   let settlesAtMs = -Infinity
 
-  const settlingMs = (): number => isAway ? REAPPEAR_MS : Math.max(0, settlesAtMs - timers.nowMs())
+  const settlingMs = (): number => isStoreDown ? REAPPEAR_MS : Math.max(0, settlesAtMs - timers.nowMs())
 
   const settle = (): void => {
     if (settlingMs() > 0) return
@@ -43,9 +43,9 @@
   }
 
   return {
-    noteOutage: () => { isAway = true },
+    noteOutage: () => { isStoreDown = true },
     noteRegained: () => {
-      isAway = false
+      isStoreDown = false
       noteSettling(REAPPEAR_MS)
     },
     noteSettling,
--- a/packages/gateway/src/directory/createPrefixMemory.ts
+++ b/packages/gateway/src/directory/createPrefixIndex.ts
@@ -3,19 +3,19 @@
 import type { PromptPart } from '@figmount/fleet'
 
 /** Which beginnings of prompts a server has computed for this router. */
-export interface PrefixMemory {
+export interface PrefixIndex {
   /** Leading tokens of a prompt that the server is likely to keep. */
   readonly cachedTokens: (serverId: string, owner: string, parts: readonly PromptPart[]) => number
   readonly remember: (serverId: string, owner: string, parts: readonly PromptPart[]) => void
   readonly forget: (serverId: string) => void
   /** Drops what a server kept for models that it holds no longer. */
-  readonly keepOnly: (serverId: string, modelNames: ReadonlySet<string>) => void
+  readonly retainModels: (serverId: string, modelNames: ReadonlySet<string>) => void
 }
 
 const modelOf = (owner: string): string => owner.split('/')[0] ?? ''
 
 /** Makes the memory of one router. `owner` is the model, and its adapter after a slash: nothing is shared across them. */
-export const createPrefixMemory = (): PrefixMemory => {
+export const createPrefixIndex = (): PrefixIndex => {
   const servers = new Map<string, Map<string, Set<string>>>()
 
   const keysOf = (parts: readonly PromptPart[]): readonly string[] => {
@@ -55,7 +55,7 @@
       }
     },
     forget: serverId => { servers.delete(serverId) },
-    keepOnly: (serverId, modelNames) => {
+    retainModels: (serverId, modelNames) => {
       const owners = servers.get(serverId)
       if (!owners) return
       for (const owner of [...owners.keys()]) {
--- a/packages/gateway/src/directory/restarts.test.ts
+++ b/packages/gateway/src/directory/restarts.test.ts
@@ -22,8 +22,8 @@
     timers,
     events: createEventLog({ instance: 'r' as InstanceName, role: 'router', timers }),
     decodeServer: (_key, bytes) => Right(JSON.parse(Buffer.from(bytes).toString()) as ServerEntry),
-    isServiceNamed: () => true,
-    entryTaken: () => {}
+    isServiceConfigured: () => true,
+    onEntry: () => {}
   })
   let offset = 0
   /** The list has an entry of this start. */
--- a/packages/gateway/src/directory/types.ts
+++ b/packages/gateway/src/directory/types.ts
@@ -1,9 +1,9 @@
 import type { Unsubscribe } from '@figmount/base'
 import type { FailureShare } from '@figmount/decisions'
 import type { AgentState, AgentLoad, FeedRecord, ServerEntry, ServerStart } from '@figmount/fleet'
-import type { Lapses } from './createLapses.js'
+import type { MissingEntries } from './createMissingEntries.js'
 import type { OwnRequests } from './createOwnRequests.js'
-import type { PrefixMemory } from './createPrefixMemory.js'
+import type { PrefixIndex } from './createPrefixIndex.js'
 
 /** What a router knows of one backend server. */
 export interface KnownServer {
@@ -36,7 +36,7 @@
   /** The list was read whole: servers that are missing have gone. */
   readonly takeKeys: (keys: ReadonlySet<string>) => void
   /** What is missing in the list because of an outage of the store. */
-  readonly lapses: Lapses
+  readonly missingEntries: MissingEntries
   readonly takeState: (address: string, state: AgentState) => void
   readonly takeLoad: (address: string, load: AgentLoad) => void
   readonly loseAgent: (address: string) => void
@@ -51,14 +51,14 @@
    */
   readonly isDead: (start: ServerStart) => boolean
   /** This start of the server, at which a run broke off then, had been known to leave before it ended: it drained or was no longer listed. */
-  readonly hasEndedInOrder: (start: ServerStart, brokenMs: number) => boolean
+  readonly hasExitedGracefully: (start: ServerStart, brokenMs: number) => boolean
   /** Addresses of engines whose agents wait for the end of a model's requests. */
   readonly leavingAddresses: () => Iterable<string>
   readonly hasLeaving: () => boolean
   /** Servers that are listed for a service of the configuration in force. */
   readonly entries: () => readonly ServerEntry[]
   /** When the agent beside the engine at an address was last heard; -Infinity where none is. */
-  readonly heardMs: (address: string) => number
+  readonly lastMessageMs: (address: string) => number
   /** The newest starts of these. */
   readonly starts: () => readonly ServerStart[]
   readonly failureShareOf: (server: KnownServer) => number
@@ -68,6 +68,6 @@
   readonly noteOutcome: (start: ServerStart, hasFailed: boolean) => void
   /** The address belongs to another server now. */
   readonly noteReplaced: (start: ServerStart) => void
-  readonly prefixes: PrefixMemory
-  readonly isKnown: () => boolean
+  readonly prefixes: PrefixIndex
+  readonly hasList: () => boolean
 }
--- a/packages/gateway/src/forwarding/constants.ts
+++ b/packages/gateway/src/forwarding/constants.ts
@@ -11,7 +11,7 @@
 export const IDLE_MARGIN_MS = 500
 
 /** Least time that a connection is kept, when a server names a very short one. */
-export const LEAST_IDLE_MS = 100
+export const MIN_IDLE_MS = 100
 
 /** Largest answer that is read whole before the caller gets it; a larger one is refused as faulty. */
 export const MAX_ANSWER_BYTES = 8 * 1024 * 1024
--- a/packages/gateway/src/forwarding/createConnectionPool.test.ts
+++ b/packages/gateway/src/forwarding/createConnectionPool.test.ts
@@ -10,7 +10,7 @@
     expect(pool.agentFor({ serverId: 'a', startedAtUnixMs: 1 })).to.equal(before)
     const after = pool.agentFor({ serverId: 'a', startedAtUnixMs: 2 })
     expect(after).not.to.equal(before)
-    pool.keepOnly([{ serverId: 'a', startedAtUnixMs: 2 }])
+    pool.retainStarts([{ serverId: 'a', startedAtUnixMs: 2 }])
     expect(pool.agentFor({ serverId: 'a', startedAtUnixMs: 2 })).to.equal(after)
     expect(pool.agentFor({ serverId: 'a', startedAtUnixMs: 1 })).not.to.equal(before)
     pool.close()
--- a/packages/gateway/src/forwarding/createConnectionPool.ts
+++ b/packages/gateway/src/forwarding/createConnectionPool.ts
@@ -2,7 +2,7 @@
 
 import { startKeyOf } from '@figmount/fleet'
 
-import { IDLE_MARGIN_MS, IDLE_TIMEOUT_MS, LEAST_IDLE_MS } from './constants.js'
+import { IDLE_MARGIN_MS, IDLE_TIMEOUT_MS, MIN_IDLE_MS } from './constants.js'
 
 import type { Socket } from 'node:net'
 import type { IncomingMessage } from 'node:http'
@@ -19,7 +19,7 @@
   /** Called when a connection is taken into use. */
   readonly noteUse: (socket: Socket) => void
   /** Closes the idle connections of starts that are not in use any more. */
-  readonly keepOnly: (starts: readonly ServerStart[]) => void
+  readonly retainStarts: (starts: readonly ServerStart[]) => void
   readonly close: () => void
 }
 
@@ -30,19 +30,19 @@
 
   // Guards against bytes that a server sends when no request waits for an answer: they would be taken for the answer
   // to the next request on the connection. A connection on which anything arrives while idle is destroyed.
-  const rejectSurplus = function (this: Socket): void {
+  const destroyOnData = function (this: Socket): void {
     this.destroy()
   }
 
-  const rest = (socket: Socket): void => {
+  const markIdle = (socket: Socket): void => {
     if (socket.destroyed) return
-    socket.on('data', rejectSurplus)
+    socket.on('data', destroyOnData)
     socket.setTimeout(idleMs.get(socket) ?? IDLE_TIMEOUT_MS)
   }
 
   const make = (): Agent => {
     const agent = new Agent({ keepAlive: true, timeout: IDLE_TIMEOUT_MS, scheduling: 'lifo' })
-    agent.on('free', rest)
+    agent.on('free', markIdle)
     return agent
   }
 
@@ -67,14 +67,14 @@
     noteAnswer: message => {
       const [, seconds] = KEEP_ALIVE_TIMEOUT.exec(String(message.headers['keep-alive'] ?? '')) ?? []
       if (seconds === undefined) return
-      const keptMs = Math.max(LEAST_IDLE_MS, Number(seconds) * MS_PER_S - IDLE_MARGIN_MS)
+      const keptMs = Math.max(MIN_IDLE_MS, Number(seconds) * MS_PER_S - IDLE_MARGIN_MS)
       idleMs.set(message.socket, Math.min(IDLE_TIMEOUT_MS, keptMs))
     },
     noteUse: socket => {
-      socket.off('data', rejectSurplus)
+      socket.off('data', destroyOnData)
       socket.setTimeout(0)
     },
-    keepOnly: starts => {
+    retainStarts: starts => {
       const kept = new Set(starts.map(startKeyOf))
       for (const startKey of [...agents.keys()]) {
         if (!kept.has(startKey)) destroy(startKey)
--- a/packages/gateway/src/forwarding/isWhole.ts
+++ b/packages/gateway/src/forwarding/isComplete.ts
@@ -10,5 +10,5 @@
  * Guards against an answer without a length whose connection is reset: Node ends it like one that was closed in order,
  * and the caller would get a part of it as the whole. Only an orderly end of the connection shows that nothing is missing.
  */
-export const isWhole = (message: IncomingMessage): boolean =>
+export const isComplete = (message: IncomingMessage): boolean =>
   message.complete && (hasFraming(message) || message.socket.readableEnded)
--- a/packages/gateway/src/forwarding/readWhole.ts
+++ b/packages/gateway/src/forwarding/readAnswer.ts
@@ -2,7 +2,7 @@
 import { makeFault } from '@figmount/base'
 
 import { MAX_ANSWER_BYTES } from './constants.js'
-import { isWhole } from './isWhole.js'
+import { isComplete } from './isComplete.js'
 
 import type { Either } from 'purify-ts'
 import type { Fault } from '@figmount/base'
@@ -11,7 +11,7 @@
 const STEP = 'forwarding.readWhole'
 
 /** Reads an answer to its end; a fault when it broke off or is too large. */
-export const readWhole = async ({ message, abort }: OpenAnswer, serverId: string): Promise<Either<Fault, Buffer>> =>
+export const readAnswer = async ({ message, abort }: OpenAnswer, serverId: string): Promise<Either<Fault, Buffer>> =>
   await new Promise(resolve => {
     const chunks: Buffer[] = []
     let byteCount = 0
@@ -25,7 +25,7 @@
       }
       chunks.push(chunk)
     })
-    message.on('end', () => isWhole(message) ? resolve(Right(Buffer.concat(chunks))) : fail('answer broke off'))
+    message.on('end', () => isComplete(message) ? resolve(Right(Buffer.concat(chunks))) : fail('answer broke off'))
     message.on('error', error => fail(error.message))
     message.on('close', () => fail('connection closed'))
   })
--- a/packages/gateway/src/forwarding/sendToServer.test.ts
+++ b/packages/gateway/src/forwarding/sendToServer.test.ts
@@ -59,7 +59,7 @@
       headers: ['Content-Length', String(body.length)],
       body,
       headTimeoutMs: 5_000,
-      mayBeOnItsWay: () => mayBeOnItsWay
+      mayBeInTransit: () => mayBeOnItsWay
     }
     return await sendToServer(context, outbound, signal)
   }
--- a/packages/gateway/src/forwarding/sendToServer.ts
+++ b/packages/gateway/src/forwarding/sendToServer.ts
@@ -50,8 +50,8 @@
   // request that has ended well is destroyed already: its connection may serve the next one.
   const abort = (): void => {
     const { socket } = request
-    const isHeldUp = !hasHead && !request.destroyed && outbound.mayBeOnItsWay()
-    if (isHeldUp && socket && !socket.connecting) socket.resetAndDestroy()
+    const isInTransit = !hasHead && !request.destroyed && outbound.mayBeInTransit()
+    if (isInTransit && socket && !socket.connecting) socket.resetAndDestroy()
     request.destroy()
   }
 
--- a/packages/gateway/src/forwarding/types.ts
+++ b/packages/gateway/src/forwarding/types.ts
@@ -15,7 +15,7 @@
   /** Gives up with a fault after this time without an answer's head. */
   readonly headTimeoutMs: number
   /** Nothing shows yet that the server's instance has got what was sent. */
-  readonly mayBeOnItsWay: () => boolean
+  readonly mayBeInTransit: () => boolean
 }
 
 /** A server's answer whose body is still to be read. */
--- a/packages/gateway/src/ingress/serveReady.ts
+++ b/packages/gateway/src/ingress/serveReadiness.ts
@@ -6,7 +6,7 @@
 const NOT_READY = 503
 
 /** Answers the balancer's question whether new connections may come; any path will do. */
-export const serveReady = async (address: string, isReady: () => boolean): Promise<() => void> => {
+export const serveReadiness = async (address: string, isReady: () => boolean): Promise<() => void> => {
   const server = createServer((_message, response) => {
     response.writeHead(isReady() ? READY : NOT_READY, { 'content-length': 0 })
     response.end()
--- a/packages/gateway/src/ingress/startIngress.ts
+++ b/packages/gateway/src/ingress/startIngress.ts
@@ -42,7 +42,7 @@
 
 /** Starts to take requests. */
 export const startIngress = async (
-  address: string, take: (message: IncomingMessage, response: ServerResponse) => Promise<void>, failed: (error: Error) => void
+  address: string, take: (message: IncomingMessage, response: ServerResponse) => Promise<void>, onError: (error: Error) => void
 ): Promise<Ingress> => {
   let openCount = 0
   let isEnding = false
@@ -52,7 +52,7 @@
    * Guards against a caller that sends a request before it has the answer to the one before: an answer that closes the
    * connection takes the later request with it, though that may run. Only the last answer closes it.
    */
-  const endBehindLatest = (socket: Socket, latest: LatestRequest): void => {
+  const closeAfterLatest = (socket: Socket, latest: LatestRequest): void => {
     const before = sockets.get(socket)
     if (before) before.response.shouldKeepAlive = before.isKept
     latest.response.shouldKeepAlive = false
@@ -62,20 +62,20 @@
    * The caller was told that the connection ends with the answer before. HTTP has later requests on it left alone: they would
    * run for an answer that cannot be given.
    */
-  const isBehindClose = (socket: Socket): boolean => {
+  const isAfterClose = (socket: Socket): boolean => {
     const before = sockets.get(socket)?.response
     return before !== undefined && before.headersSent && !before.shouldKeepAlive
   }
 
   const handle: RequestListener = (message, response) => {
-    if (isBehindClose(message.socket)) return
+    if (isAfterClose(message.socket)) return
     const latest = { response, isKept: response.shouldKeepAlive }
-    if (isEnding) endBehindLatest(message.socket, latest)
+    if (isEnding) closeAfterLatest(message.socket, latest)
     sockets.set(message.socket, latest)
     openCount += 1
     onceClosed(message, response, () => { openCount -= 1 })
     take(message, response).catch((error: Error) => {
-      failed(error)
+      onError(error)
       if (response.headersSent) response.destroy()
       else response.writeHead(BAD_GATEWAY, { 'content-length': 0 }).end()
     })
--- a/packages/gateway/src/ingress/takeRequest.ts
+++ b/packages/gateway/src/ingress/takeRequest.ts
@@ -2,8 +2,8 @@
 import { findEngine, matchRoute, pickService, RequestKind } from '@figmount/fleet'
 
 import { GatewayEvent } from '../events.js'
-import { STOPPING, STOPPING_RETRY_MS, UNKNOWN_RETRY_MS } from '../requests/constants.js'
-import { holderOf, isKeyAsked, unitsOf } from '../limits/holderOf.js'
+import { STOPPING_REASON, STOPPING_RETRY_MS, NO_DEPLOYMENT_RETRY_MS } from '../requests/constants.js'
+import { organisationOf, isKeyRequired, unitsOf } from '../limits/organisationOf.js'
 import { takeQuota } from '../limits/takeQuota.js'
 import { Status } from '../requests/endRequest.js'
 import { serveModel } from '../requests/serveModel.js'
@@ -24,7 +24,7 @@
   return bytes
 }
 
-const endEarly = (context: GatewayContext, response: ServerResponse, status: number, reason: string): void => {
+const reject = (context: GatewayContext, response: ServerResponse, status: number, reason: string): void => {
   context.metrics.count('requests_rejected_total')
   context.events.emit(GatewayEvent.requestMalformed, { statusCode: status, reason })
   if (response.headersSent || response.destroyed) return
@@ -33,7 +33,7 @@
 }
 
 /** Refuses a request before its route is looked for. */
-const refuseEarly = (context: GatewayContext, response: ServerResponse, requestId: string, reason: string, retryAfterMs: number): void => {
+const refuseUnrouted = (context: GatewayContext, response: ServerResponse, requestId: string, reason: string, retryAfterMs: number): void => {
   context.metrics.count('requests_refused_total')
   context.events.emit(GatewayEvent.requestRefused, { requestKey: requestId, reason, retryAfterMs })
   if (response.destroyed) return
@@ -50,7 +50,7 @@
   response.end()
 }
 
-const watchLeaving = (message: IncomingMessage, response: ServerResponse): AbortSignal => {
+const watchCallerLeft = (message: IncomingMessage, response: ServerResponse): AbortSignal => {
   const leaving = new AbortController()
   onceClosed(message, response, () => {
     if (!response.writableFinished) leaving.abort()
@@ -60,10 +60,10 @@
 
 const serve = async (
   context: GatewayContext, deployment: Deployment, caller: CallerRequest, route: Route,
-  message: IncomingMessage, response: ServerResponse, body: Buffer, arrivedMs: number, left: AbortSignal
+  message: IncomingMessage, response: ServerResponse, body: Buffer, arrivedMs: number, callerLeft: AbortSignal
 ): Promise<void> => {
   const serviceName = pickService(route, context.random()) ?? ''
-  const organisation = holderOf(deployment, route, caller)
+  const organisation = organisationOf(deployment, route, caller)
   const deadlineMs = caller.deadlineMs ?? route.timeoutMs
   const request: RoutedRequest = {
     caller,
@@ -79,7 +79,7 @@
     arrivedMs,
     untilMs: arrivedMs + Math.min(deadlineMs, route.timeoutMs),
     response,
-    left,
+    callerLeft,
     requestHash: hashOf(message, body)
   }
   context.metrics.count('requests_total')
@@ -104,20 +104,20 @@
 /** Takes one request from a caller and answers it. */
 export const takeRequest = async (context: GatewayContext, message: IncomingMessage, response: ServerResponse): Promise<void> => {
   const arrivedMs = context.timers.nowMs()
-  const left = watchLeaving(message, response)
+  const callerLeft = watchCallerLeft(message, response)
   const limits = context.deployment()?.limits
-  if (limits && headerBytesOf(message) > limits.headerBytes) return endEarly(context, response, Status.HeadersTooLarge, 'headers too large')
+  if (limits && headerBytesOf(message) > limits.headerBytes) return reject(context, response, Status.HeadersTooLarge, 'headers too large')
   const read = await readBody(message, limits?.bodyBytes ?? Infinity, context.stop)
   if (read.type === 'brokenOff') return
-  if (read.type === 'tooLarge') return endEarly(context, response, Status.TooLarge, 'body too large')
+  if (read.type === 'tooLarge') return reject(context, response, Status.TooLarge, 'body too large')
   const decoded = context.codec.decodeRequest(message.rawHeaders)
-  if (decoded.isLeft()) return endEarly(context, response, Status.BadRequest, decoded.swap().unsafeCoerce().message)
+  if (decoded.isLeft()) return reject(context, response, Status.BadRequest, decoded.swap().unsafeCoerce().message)
   const caller = decoded.unsafeCoerce()
-  if (read.type === 'stopped' || context.stop.isClosing()) return refuseEarly(context, response, caller.requestId, STOPPING, STOPPING_RETRY_MS)
+  if (read.type === 'stopped' || context.stop.isClosing()) return refuseUnrouted(context, response, caller.requestId, STOPPING_REASON, STOPPING_RETRY_MS)
   const deployment = context.deployment()
-  if (!deployment || !context.directory.isKnown()) return refuseEarly(context, response, caller.requestId, 'no deployment known yet', UNKNOWN_RETRY_MS)
+  if (!deployment || !context.directory.hasList()) return refuseUnrouted(context, response, caller.requestId, 'no deployment known yet', NO_DEPLOYMENT_RETRY_MS)
   const route = matchRoute(deployment.routes, message.headers.host ?? '', message.url ?? '/')
-  if (!route) return endEarly(context, response, Status.NotFound, `no route for ${message.headers.host ?? ''}${message.url ?? ''}`)
-  if (isKeyAsked(deployment, route) && !holderOf(deployment, route, caller)) return refuseKey(context, response, caller, route)
-  await serve(context, deployment, caller, route, message, response, read.body, arrivedMs, left)
+  if (!route) return reject(context, response, Status.NotFound, `no route for ${message.headers.host ?? ''}${message.url ?? ''}`)
+  if (isKeyRequired(deployment, route) && !organisationOf(deployment, route, caller)) return refuseKey(context, response, caller, route)
+  await serve(context, deployment, caller, route, message, response, read.body, arrivedMs, callerLeft)
 }
--- a/packages/gateway/src/limits/createQuotas.test.ts
+++ b/packages/gateway/src/limits/createQuotas.test.ts
@@ -22,7 +22,7 @@
     events,
     organisations: () => ({ all: [ACME], byKeyDigest: new Map() }),
     routerCount: () => 2,
-    reached: () => [...reached],
+    reachableAddresses: () => [...reached],
     send: (to, message) => {
       sent.push({ to, message })
       const answer = answers[to]
--- a/packages/gateway/src/limits/createQuotas.ts
+++ b/packages/gateway/src/limits/createQuotas.ts
@@ -13,7 +13,7 @@
 const AVOID_MS = 2_000
 
 /** Limiters that are asked for one request. */
-const MAX_ASKS = 2
+const MAX_LIMITER_TRIES = 2
 
 /** Come-back time when no limiter answers: links to others are open within a second. */
 const NO_LIMITER_RETRY_MS = 500
@@ -38,7 +38,7 @@
   /** The most routers seen so far. */
   readonly routerCount: () => number
   /** Engine addresses of the agents whose links are open. */
-  readonly reached: () => readonly string[]
+  readonly reachableAddresses: () => readonly string[]
   readonly send: (serverAddress: string, message: RouterMessage) => void
 }
 
@@ -47,7 +47,7 @@
   /** Takes units for a request; may wait up to `maxWaitMs` for them. */
   readonly admit: (organisation: Organisation, units: number, maxWaitMs: number) => Promise<Admission>
   /** Gives units back of a request that has not run. */
-  readonly giveBack: (organisation: Organisation, units: number) => void
+  readonly refund: (organisation: Organisation, units: number) => void
   /** Counts a request that runs once more; it goes on whatever is left. */
   readonly charge: (organisation: Organisation, units: number) => void
   readonly takeAnswer: (serverAddress: string, answer: UnitsAnswered) => void
@@ -61,20 +61,20 @@
 const ADMITTED: Admission = { isAdmitted: true }
 
 /** Makes the quotas of one router. */
-export const createQuotas = ({ timers, events, organisations, routerCount, reached, send }: Options): Quotas => {
+export const createQuotas = ({ timers, events, organisations, routerCount, reachableAddresses, send }: Options): Quotas => {
   const chosen = new Map<string, string>()
-  const told = new Map<string, string>()
+  const announced = new Map<string, string>()
   const avoidedUntilMs = new Map<string, number>()
-  const asks = new Map<number, { readonly address: string, readonly settle: Settle }>()
+  const openQueries = new Map<number, { readonly address: string, readonly settle: Settle }>()
   /** Time until which an organisation's limit is known to be used up. */
   const usedUpUntilMs = new Map<string, number>()
-  const aloneBuckets = new Map<string, TokenBucket>()
+  const localBuckets = new Map<string, TokenBucket>()
   let nextAskId = 1
-  let reviewedFor = ''
+  let lastReviewed = ''
 
   const usable = (): readonly string[] => {
     const nowMs = timers.nowMs()
-    return reached().filter(address => (avoidedUntilMs.get(address) ?? 0) <= nowMs)
+    return reachableAddresses().filter(address => (avoidedUntilMs.get(address) ?? 0) <= nowMs)
   }
 
   const choose = (names: readonly string[], addresses: readonly string[]): void => {
@@ -83,16 +83,16 @@
       const address = chooseLimiter(name, addresses)
       if (address !== undefined) chosen.set(name, address)
     }
-    if (addresses.length > 0) aloneBuckets.clear()
+    if (addresses.length > 0) localBuckets.clear()
   }
 
   /** Tells agents which organisations they count for this router, where they have not been told so. */
-  const tellChosen = (): void => {
-    for (const address of reached()) {
+  const announceChosen = (): void => {
+    for (const address of reachableAddresses()) {
       const names = [...chosen].filter(([, limiter]) => limiter === address).map(([name]) => name)
       const text = `${routerCount()} ${names.join()}`
-      if (told.get(address) === text || (names.length === 0 && !told.has(address))) continue
-      told.set(address, text)
+      if (announced.get(address) === text || (names.length === 0 && !announced.has(address))) continue
+      announced.set(address, text)
       send(address, { type: 'limiterChosen', organisations: names, routerCount: routerCount() })
     }
   }
@@ -102,11 +102,11 @@
     const limited = organisations()?.all.filter(({ limit }) => limit !== undefined).map(({ name }) => name) ?? []
     if (limited.length === 0 && chosen.size === 0) return
     const addresses = usable()
-    const inputs = (): string => `${routerCount()} ${told.size} ${addresses.join()} ${limited.join()}`
-    if (inputs() === reviewedFor) return
+    const inputs = (): string => `${routerCount()} ${announced.size} ${addresses.join()} ${limited.join()}`
+    if (inputs() === lastReviewed) return
     choose(limited, addresses)
-    tellChosen()
-    reviewedFor = inputs()
+    announceChosen()
+    lastReviewed = inputs()
   }
 
   const avoid = (address: string, name: string): void => {
@@ -120,11 +120,11 @@
       const askId = nextAskId++
       const settle: Settle = answer => {
         stopTimer()
-        asks.delete(askId)
+        openQueries.delete(askId)
         resolve(answer)
       }
       const stopTimer = timers.after(ANSWER_MS, () => { settle(undefined) })
-      asks.set(askId, { address, settle })
+      openQueries.set(askId, { address, settle })
       send(address, { type: 'unitsAsked', askId, organisation, units, maxWaitMs })
     })
 
@@ -132,12 +132,12 @@
    * Guards against routers that together let more than the limit through while none of them reaches a limiter: each has an equal part,
    * which begins empty.
    */
-  const admitAlone = (name: string, limit: OrganisationLimit, units: number): Admission => {
+  const admitLocally = (name: string, limit: OrganisationLimit, units: number): Admission => {
     const part = shareOfLimit(limit, 1 / Math.max(1, routerCount()))
     const nowMs = timers.nowMs()
     if (units > capacityOf(part)) return { isAdmitted: false, isOverLimit: false, retryAfterMs: NO_LIMITER_RETRY_MS }
-    const taking = takeUnits(aloneBuckets.get(name) ?? emptyBucket(nowMs), part, { units, maxWaitMs: 0 }, needAll, nowMs)
-    aloneBuckets.set(name, taking.bucket)
+    const taking = takeUnits(localBuckets.get(name) ?? emptyBucket(nowMs), part, { units, maxWaitMs: 0 }, needAll, nowMs)
+    localBuckets.set(name, taking.bucket)
     return taking.isTaken ? ADMITTED : { isAdmitted: false, isOverLimit: false, retryAfterMs: taking.retryAfterMs }
   }
 
@@ -152,10 +152,10 @@
     if (!limit) return ADMITTED
     const refused = knownRefusal(name)
     if (refused) return refused
-    for (let tries = 0; tries < MAX_ASKS; tries++) {
+    for (let tries = 0; tries < MAX_LIMITER_TRIES; tries++) {
       review()
       const address = chosen.get(name)
-      if (address === undefined) return admitAlone(name, limit, units)
+      if (address === undefined) return admitLocally(name, limit, units)
       const answer = await ask(address, name, units, maxWaitMs)
       if (answer?.outcome === 'taken') {
         if (answer.waitMs > 0) await new Promise<void>(resolve => { timers.after(answer.waitMs, resolve) })
@@ -171,7 +171,7 @@
     return { isAdmitted: false, isOverLimit: false, retryAfterMs: NO_LIMITER_RETRY_MS }
   }
 
-  const tellReturned = (name: string, units: number): void => {
+  const sendReturned = (name: string, units: number): void => {
     const address = chosen.get(name)
     if (address !== undefined) send(address, { type: 'unitsReturned', organisation: name, units })
   }
@@ -180,19 +180,19 @@
 
   return {
     admit,
-    giveBack: ({ name, limit }, units) => {
+    refund: ({ name, limit }, units) => {
       if (!limit) return
       usedUpUntilMs.delete(name)
-      tellReturned(name, units)
+      sendReturned(name, units)
     },
-    charge: ({ name, limit }, units) => { if (limit) tellReturned(name, -units) },
+    charge: ({ name, limit }, units) => { if (limit) sendReturned(name, -units) },
     takeAnswer: (serverAddress, answer) => {
-      const open = asks.get(answer.askId)
+      const open = openQueries.get(answer.askId)
       if (open?.address === serverAddress) open.settle(answer)
     },
     noteLost: serverAddress => {
-      told.delete(serverAddress)
-      for (const { address, settle } of [...asks.values()]) {
+      announced.delete(serverAddress)
+      for (const { address, settle } of [...openQueries.values()]) {
         if (address === serverAddress) settle(undefined)
       }
     },
--- a/packages/gateway/src/limits/createRouterCount.ts
+++ b/packages/gateway/src/limits/createRouterCount.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from '@figmount/base'
 
 /** A router that is out of sight for longer than this is gone. */
-const KEEP_MS = 30_000
+const RETENTION_MS = 30_000
 
 /** The most routers that agents have told of lately. */
 export interface RouterCount {
@@ -16,7 +16,7 @@
   return {
     note: count => {
       const nowMs = timers.nowMs()
-      if (count < most && nowMs - seenMs < KEEP_MS) return
+      if (count < most && nowMs - seenMs < RETENTION_MS) return
       most = Math.max(1, count)
       seenMs = nowMs
     },
--- a/packages/gateway/src/limits/holderOf.ts
+++ b/packages/gateway/src/limits/organisationOf.ts
@@ -3,11 +3,11 @@
 import type { CallerRequest, Deployment, Organisation, OrganisationLimit, Route } from '@figmount/fleet'
 
 /** Requests on the route must bring a key. */
-export const isKeyAsked = ({ organisations }: Deployment, route: Route): boolean => organisations !== undefined && !route.isPublic
+export const isKeyRequired = ({ organisations }: Deployment, route: Route): boolean => organisations !== undefined && !route.isPublic
 
 /** The organisation that holds the caller's key; undefined where none does or no key is asked for. */
-export const holderOf = (deployment: Deployment, route: Route, { keyDigest }: CallerRequest): Organisation | undefined =>
-  isKeyAsked(deployment, route) ? deployment.organisations?.byKeyDigest.get(keyDigest) : undefined
+export const organisationOf = (deployment: Deployment, route: Route, { keyDigest }: CallerRequest): Organisation | undefined =>
+  isKeyRequired(deployment, route) ? deployment.organisations?.byKeyDigest.get(keyDigest) : undefined
 
 /** What a request counts against its organisation's limit. */
 export const unitsOf = ({ unit, plainUnits }: OrganisationLimit, { promptTokens, outputTokens }: CallerRequest): number => {
--- a/packages/gateway/src/limits/quotaStorm.test.ts
+++ b/packages/gateway/src/limits/quotaStorm.test.ts
@@ -82,7 +82,7 @@
       events: createEventLog({ instance: `r${router}` as InstanceName, role: 'router', timers }),
       organisations: () => ({ all: [ACME], byKeyDigest: new Map() }),
       routerCount: () => ROUTER_COUNT,
-      reached: () => [...own],
+      reachableAddresses: () => [...own],
       send: (address, message) => { deliver(router, address, message) }
     }))
   }
--- a/packages/gateway/src/limits/takeQuota.ts
+++ b/packages/gateway/src/limits/takeQuota.ts
@@ -1,5 +1,5 @@
 import { GatewayEvent } from '../events.js'
-import { noteLeft, refuse, Status } from '../requests/endRequest.js'
+import { noteCallerLeft, refuse, Status } from '../requests/endRequest.js'
 
 import type { Organisation } from '@figmount/fleet'
 import type { GatewayContext, RoutedRequest } from '../requests/types.js'
@@ -14,9 +14,9 @@
 export const takeQuota = async (context: GatewayContext, request: RoutedRequest, organisation: Organisation): Promise<boolean> => {
   const admission = await context.quotas.admit(organisation, request.units, MAX_WAIT_MS)
   if (admission.isAdmitted) {
-    if (!request.left.aborted) return true
-    context.quotas.giveBack(organisation, request.units)
-    noteLeft(context, request)
+    if (!request.callerLeft.aborted) return true
+    context.quotas.refund(organisation, request.units)
+    noteCallerLeft(context, request)
     return false
   }
   const retryAfterMs = Math.ceil(admission.retryAfterMs * (1 + SPREAD_SHARE * context.random()))
--- a/packages/gateway/src/placing/createColdLoads.test.ts
+++ b/packages/gateway/src/placing/createColdLoads.test.ts
@@ -20,13 +20,13 @@
   it('count from the moment in which they are asked for', () => {
     // Guards against more loads than the store carries before the agent's word comes.
     const { timers, loads } = setUp()
-    loads.noteAsked('a')
+    loads.noteRequested('a')
     expect(loads.count()).to.equal(1)
     loads.takeState('a', loading('a'))
     expect(loads.count()).to.equal(1)
     loads.takeState('a', holding('a'))
     expect(loads.count()).to.equal(0)
-    loads.noteAsked('b')
+    loads.noteRequested('b')
     timers.advance(1_000)
     expect(loads.count()).to.equal(0)
   })
--- a/packages/gateway/src/placing/createColdLoads.ts
+++ b/packages/gateway/src/placing/createColdLoads.ts
@@ -6,7 +6,7 @@
 import type { AgentState } from '@figmount/fleet'
 
 /** An agent's word on a load that it was asked for comes within this time. */
-const UNSEEN_MS = 600
+const UNCONFIRMED_MS = 600
 
 interface RunningLoad {
   readonly modelName: string
@@ -20,7 +20,7 @@
   readonly takeState: (address: string, state: AgentState) => void
   readonly lose: (address: string) => void
   /** An agent was asked for a load whose begin is not seen yet. */
-  readonly noteAsked: (address: string) => void
+  readonly noteRequested: (address: string) => void
   /** Loads that are under way or about to be. */
   readonly count: () => number
   /** Loads that may be under way at a time. */
@@ -39,11 +39,11 @@
 /** Watches the loads from the weight store; `aloneMsOf` is the time that a model's load takes alone. */
 export const createColdLoads = (timers: TimerService, aloneMsOf: (modelName: string) => number | undefined): ColdLoads => {
   const pending = new Set<string>()
-  const askedMs = new Map<string, number>()
+  const requestedMs = new Map<string, number>()
   const running = new Map<string, RunningLoad>()
   let pace: StorePace = firstPace
 
-  const learn = (load: RunningLoad, hasEnded: boolean): void => {
+  const updatePace = (load: RunningLoad, hasEnded: boolean): void => {
     const nowMs = timers.nowMs()
     const aloneMs = aloneMsOf(load.modelName)
     if (aloneMs === undefined) return
@@ -65,8 +65,8 @@
   const count = (): number => {
     const nowMs = timers.nowMs()
     let total = pending.size
-    for (const [address, atMs] of [...askedMs]) {
-      if (pending.has(address) || nowMs - atMs > UNSEEN_MS) askedMs.delete(address)
+    for (const [address, atMs] of [...requestedMs]) {
+      if (pending.has(address) || nowMs - atMs > UNCONFIRMED_MS) requestedMs.delete(address)
       else total += 1
     }
     return total
@@ -79,7 +79,7 @@
       const known = running.get(address)
       if (known && known.modelName !== state.loadingModel) {
         running.delete(address)
-        if (state.models.some(model => model.name === known.modelName)) learn(known, true)
+        if (state.models.some(model => model.name === known.modelName)) updatePace(known, true)
       }
       if (!state.isLoadingCold || state.loadingForMs === 0 || running.has(address)) return
       noteBegun(address, state.loadingModel, timers.nowMs() - state.loadingForMs)
@@ -88,10 +88,10 @@
       pending.delete(address)
       running.delete(address)
     },
-    noteAsked: address => { askedMs.set(address, timers.nowMs()) },
+    noteRequested: address => { requestedMs.set(address, timers.nowMs()) },
     count,
     limit: () => {
-      for (const load of running.values()) learn(load, false)
+      for (const load of running.values()) updatePace(load, false)
       return pace.fullSpeedCount
     }
   }
--- a/packages/gateway/src/placing/createQueueRelief.ts
+++ b/packages/gateway/src/placing/createQueueScaler.ts
@@ -1,7 +1,7 @@
 import { lateShare, requestsAhead } from '@figmount/decisions'
 import { findEngine } from '@figmount/fleet'
 
-import { askFor } from './askFor.js'
+import { requestReplica } from './requestReplica.js'
 
 import type { TimerService } from '@figmount/base'
 import type { KnownServer } from '../directory/types.js'
@@ -13,7 +13,7 @@
 const MS_PER_S = 1_000
 
 /** Time between two replicas of one model that a router asks for: a copy on disk is loaded in less. */
-const ASK_PERIOD_MS = 400
+const REQUEST_PERIOD_MS = 400
 
 /**
  * A replica that was asked for because of a queue is forgotten after this time. It is asked for again while the queue lasts; kept
@@ -22,7 +22,7 @@
 const QUEUE_WANT_MS = 2_000
 
 /** Asks for replicas of models whose requests queue. */
-export interface QueueRelief {
+export interface QueueScaler {
   /** Notes how long a request is expected to queue at the best server that holds its model. */
   readonly note: (context: GatewayContext, request: RoutedRequest, servers: readonly KnownServer[], queueMs: number) => void
 }
@@ -33,19 +33,19 @@
  * Load pattern: demand that jumps to a model within a second. The rate of requests shows it only seconds later; the
  * queue in front of its few replicas shows it with the third request.
  */
-export const createQueueRelief = (timers: TimerService): QueueRelief => {
-  const askedMs = new Map<string, number>()
+export const createQueueScaler = (timers: TimerService): QueueScaler => {
+  const requestedMs = new Map<string, number>()
   return {
     note: (context, request, servers, queueMs) => {
       const { modelName } = request.caller
       if (queueMs < request.route.objectiveMs * QUEUE_SHARE) return
-      if (timers.nowMs() - (askedMs.get(modelName) ?? -Infinity) < ASK_PERIOD_MS) return
+      if (timers.nowMs() - (requestedMs.get(modelName) ?? -Infinity) < REQUEST_PERIOD_MS) return
       const engine = findEngine(context.deployment(), request.serviceName)
       const model = engine?.models.find(candidate => candidate.name === modelName)
       if (!engine || !model) return
-      askedMs.set(modelName, timers.nowMs())
+      requestedMs.set(modelName, timers.nowMs())
       const aheadCount = requestsAhead({ requestsPerS: context.demand.requestsPerS(modelName) * context.routerCount() })
-      askFor(context, { spec: engine, model, servers, lateCount: aheadCount * lateShare(queueMs / MS_PER_S), reason: 'queue', timeLeftMs: QUEUE_WANT_MS })
+      requestReplica(context, { spec: engine, model, servers, lateCount: aheadCount * lateShare(queueMs / MS_PER_S), reason: 'queue', timeLeftMs: QUEUE_WANT_MS })
     }
   }
 }
--- a/packages/gateway/src/placing/askFor.ts
+++ b/packages/gateway/src/placing/requestReplica.ts
@@ -8,7 +8,7 @@
 import type { GatewayContext } from '../requests/types.js'
 
 /** A replica that was asked for ahead of requests is given up after this time: two loads from a slow weight store. */
-const AHEAD_WANT_MS = 30_000
+const PROACTIVE_WANT_MS = 30_000
 
 /**
  * Loads from the weight store at a time beyond which none is begun ahead of requests. An engine that loads takes no other
@@ -17,7 +17,7 @@
 const MAX_COLD_LOADS = 1
 
 /** A replica that is wanted ahead of requests. */
-export interface ReplicaAsk {
+export interface ReplicaRequest {
   readonly spec: EngineSpec
   readonly model: ModelSpec
   readonly servers: readonly KnownServer[]
@@ -31,13 +31,13 @@
 }
 
 /** Asks an agent for one more replica, for nobody in particular. */
-export const askFor = (context: GatewayContext, { spec, model, servers, lateCount, reason, timeLeftMs = AHEAD_WANT_MS, maxColdLoads = MAX_COLD_LOADS }: ReplicaAsk): void => {
+export const requestReplica = (context: GatewayContext, { spec, model, servers, lateCount, reason, timeLeftMs = PROACTIVE_WANT_MS, maxColdLoads = MAX_COLD_LOADS }: ReplicaRequest): void => {
   const loader = findLoader(context, spec, model, servers)
   if (!loader) return
   const { serverId, address } = loader.server.entry
   const mayLoadCold = context.coldLoads.count() < Math.min(maxColdLoads, context.coldLoads.limit())
   if (loader.isCold && !loader.isLoading && !mayLoadCold) return
-  if (loader.isCold) context.coldLoads.noteAsked(address)
+  if (loader.isCold) context.coldLoads.noteRequested(address)
   context.events.emit(GatewayEvent.replicaAsked, { model: model.name, peer: serverId, reason, waitMs: Math.round(loader.readyInMs) })
   runInBackground(context.events, 'placing.want', loader.agent.want({
     serverId, modelName: model.name, adapterName: '', waitingCount: 0, lateCount, timeLeftMs
--- a/packages/gateway/src/placing/viewServers.ts
+++ b/packages/gateway/src/placing/viewServers.ts
@@ -38,11 +38,11 @@
       if (!leaving.includes(name)) counts.set(name, (counts.get(name) ?? 0) + 1)
     }
   }
-  const several: ModelReplicas[] = []
+  const replicated: ModelReplicas[] = []
   for (const [modelName, replicaCount] of counts) {
-    if (replicaCount > 1) several.push({ modelName, replicaCount })
+    if (replicaCount > 1) replicated.push({ modelName, replicaCount })
   }
-  return several
+  return replicated
 }
 
 /** The engines that hold the request's model. */
--- a/packages/gateway/src/placing/watchReplicas.ts
+++ b/packages/gateway/src/placing/watchReplicas.ts
@@ -1,6 +1,6 @@
 import { planReplicas } from '@figmount/decisions'
 
-import { askFor } from './askFor.js'
+import { requestReplica } from './requestReplica.js'
 import { heldModel } from './viewServers.js'
 
 import type { EngineSpec, ModelSpec, Service } from '@figmount/fleet'
@@ -14,9 +14,9 @@
 const BUSY_TOKENS_PER_S = 2_000
 
 /** Engines with a copy of a busy model: two may go at once. */
-const BUSY_COPIES = 3
+const MIN_BUSY_COPIES = 3
 
-interface ModelStanding {
+interface ModelPlacement {
   readonly model: ModelSpec
   readonly replicaCount: number
   readonly comingCount: number
@@ -25,15 +25,15 @@
   readonly promptTokensPerS: number
 }
 
-type Counts = Omit<ModelStanding, 'model'>
+type Counts = Omit<ModelPlacement, 'model'>
 
-const NOWHERE: Counts = { replicaCount: 0, comingCount: 0, copyCount: 0, promptTokensPerS: 0 }
+const NO_PLACEMENT: Counts = { replicaCount: 0, comingCount: 0, copyCount: 0, promptTokensPerS: 0 }
 
 /** Where the models stand, by one walk over the engines: there are hundreds of models, and few of them at each engine. */
-export const standingsOf = (models: readonly ModelSpec[], servers: readonly KnownServer[]): readonly ModelStanding[] => {
+export const placementsOf = (models: readonly ModelSpec[], servers: readonly KnownServer[]): readonly ModelPlacement[] => {
   const counts = new Map<string, Counts>()
   const add = (modelName: string, change: (known: Counts) => Partial<Counts>): void => {
-    const known = counts.get(modelName) ?? NOWHERE
+    const known = counts.get(modelName) ?? NO_PLACEMENT
     counts.set(modelName, { ...known, ...change(known) })
   }
   for (const server of servers) {
@@ -49,32 +49,32 @@
     const coming = new Set([...(state.loadingModel === '' ? [] : [state.loadingModel]), ...state.queuedModels])
     for (const name of coming) add(name, known => ({ comingCount: known.comingCount + 1 }))
   }
-  return models.map(model => ({ model, ...(counts.get(model.name) ?? NOWHERE) }))
+  return models.map(model => ({ model, ...(counts.get(model.name) ?? NO_PLACEMENT) }))
 }
 
-const reviewEngine = (context: GatewayContext, service: Service, spec: EngineSpec): void => {
+const reviewReplicas = (context: GatewayContext, service: Service, spec: EngineSpec): void => {
   const servers = context.directory.serving(service.name)
-  const standings = standingsOf(spec.models, servers)
-  const ask = ({ model }: ModelStanding, reason: string, maxColdLoads?: number): void => {
-    askFor(context, { spec, model, servers, lateCount: 0, reason, ...(maxColdLoads === undefined ? {} : { maxColdLoads }) })
+  const placements = placementsOf(spec.models, servers)
+  const ask = ({ model }: ModelPlacement, reason: string, maxColdLoads?: number): void => {
+    requestReplica(context, { spec, model, servers, lateCount: 0, reason, ...(maxColdLoads === undefined ? {} : { maxColdLoads }) })
   }
-  const [short] = planReplicas(standings.map(standing => ({ ...standing, modelName: standing.model.name })))
-  const busiest = standings.find(standing => standing.model.name === short)
+  const [short] = planReplicas(placements.map(standing => ({ ...standing, modelName: standing.model.name })))
+  const busiest = placements.find(standing => standing.model.name === short)
   if (busiest) ask(busiest, 'demand')
   // The engines that hold a busy model may crash together, and a load from the weight store takes longer than its callers
   // wait. Copies on other engines bring it back in half a second.
-  const scarce = standings.find(standing =>
-    standing.promptTokensPerS > BUSY_TOKENS_PER_S && standing.copyCount < BUSY_COPIES && standing.comingCount === 0)
+  const scarce = placements.find(standing =>
+    standing.promptTokensPerS > BUSY_TOKENS_PER_S && standing.copyCount < MIN_BUSY_COPIES && standing.comingCount === 0)
   if (scarce) ask(scarce, 'few copies')
   // A model that no engine holds and none has a copy of costs its next caller a load from the weight store. Bringing
   // it while nobody waits leaves a copy on the engine's disk, from which it is back in half a second. Those go first that
   // callers were refused of late.
-  const isAtRest = standings.every(standing => standing.promptTokensPerS === 0)
-  const absent = standings
+  const isIdle = placements.every(standing => standing.promptTokensPerS === 0)
+  const absent = placements
     .filter(standing => standing.copyCount === 0 && standing.comingCount === 0)
     .sort((a, b) => context.demand.requestsPerS(b.model.name) - context.demand.requestsPerS(a.model.name))
   // Before there are callers nobody is kept waiting, and as many go at a time as run at full speed.
-  if (absent[0]) ask(absent[0], 'no copy', isAtRest ? Infinity : undefined)
+  if (absent[0]) ask(absent[0], 'no copy', isIdle ? Infinity : undefined)
 }
 
 /**
@@ -84,6 +84,6 @@
 export const watchReplicas = (context: GatewayContext): void => {
   if (context.random() * Math.max(1, context.routerCount()) > 1) return
   for (const service of context.deployment()?.services ?? []) {
-    if (service.engine) reviewEngine(context, service, service.engine)
+    if (service.engine) reviewReplicas(context, service, service.engine)
   }
 }
--- a/packages/gateway/src/requests/awaitAdapter.ts
+++ b/packages/gateway/src/requests/awaitAdapter.ts
@@ -3,10 +3,10 @@
 import { GatewayEvent } from '../events.js'
 import { limitWait } from '../stopping/limitWait.js'
 import { awaitWant } from './awaitWant.js'
-import { ADAPTER_WAIT_MS, STOPPING, STOPPING_RETRY_MS } from './constants.js'
+import { ADAPTER_WAIT_MS, STOPPING_REASON, STOPPING_RETRY_MS } from './constants.js'
 
 import type { KnownServer } from '../directory/types.js'
-import type { LateWait, WaitBounds } from './awaitWant.js'
+import type { RefusedWait, WaitBounds } from './awaitWant.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** How the wait for an adapter ended. */
@@ -14,7 +14,7 @@
   | { readonly type: 'there' }
   /** It did not come: another engine may have it sooner. */
   | { readonly type: 'missed' }
-  | LateWait
+  | RefusedWait
 
 /**
  * Has an adapter put in place beside its model. An engine fetches one in milliseconds, but takes no order while it loads
@@ -40,9 +40,9 @@
   const timeLeftMs = isHopeless ? keptMs : Math.min(keptMs, expectedMs + ADAPTER_WAIT_MS)
   const want = agent.want({ serverId: server.entry.serverId, modelName, adapterName, waitingCount: 1, lateCount: 0, timeLeftMs })
   if (isHopeless) return { type: 'late', reason: 'the adapter comes too late', retryAfterMs: expectedMs }
-  const stopLimiting = limitWait({ stop, timers, lastSendMs: bounds.lastSendMs, readyAtMs, giveUp: () => want.drop(STOPPING) })
+  const stopLimiting = limitWait({ stop, timers, lastSendMs: bounds.lastSendMs, readyAtMs, giveUp: () => want.drop(STOPPING_REASON) })
   const outcome = await awaitWant(request, want)
   stopLimiting()
-  if (outcome.reason === STOPPING) return { type: 'late', reason: STOPPING, retryAfterMs: Math.max(STOPPING_RETRY_MS, readyAtMs - timers.nowMs()) }
+  if (outcome.reason === STOPPING_REASON) return { type: 'late', reason: STOPPING_REASON, retryAfterMs: Math.max(STOPPING_RETRY_MS, readyAtMs - timers.nowMs()) }
   return { type: outcome.isReady ? 'there' : 'missed' }
 }
--- a/packages/gateway/src/requests/awaitModel.ts
+++ b/packages/gateway/src/requests/awaitModel.ts
@@ -5,12 +5,12 @@
 import { findLoader } from '../placing/findLoader.js'
 import { limitWait } from '../stopping/limitWait.js'
 import { awaitWant } from './awaitWant.js'
-import { NO_SERVER_RETRY_MS, STOPPING, STOPPING_RETRY_MS } from './constants.js'
-import { MOVED, watchElsewhere, watchSooner } from './watchLoads.js'
+import { NO_SERVER_RETRY_MS, STOPPING_REASON, STOPPING_RETRY_MS } from './constants.js'
+import { MOVED_REASON, watchLoadsElsewhere, watchFasterLoader } from './watchLoads.js'
 
 import type { KnownServer } from '../directory/types.js'
 import type { Loader } from '../placing/findLoader.js'
-import type { LateWait, WaitBounds } from './awaitWant.js'
+import type { RefusedWait, WaitBounds } from './awaitWant.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** How the wait for a model ended. */
@@ -19,14 +19,14 @@
   | { readonly type: 'changed' }
   /** The engine that was asked went away: another one may be asked. */
   | { readonly type: 'lost', readonly reason: string, readonly retryAfterMs: number }
-  | LateWait
+  | RefusedWait
 
 /** The router stops: the caller comes back when a load that has begun ends, and at once to have any other one begun by another router. */
-const endByStop = (context: GatewayContext, { server }: Loader, modelName: string, readyAtMs: number): ModelWait => {
+const endWaitAtStop = (context: GatewayContext, { server }: Loader, modelName: string, readyAtMs: number): ModelWait => {
   const state = context.directory.find(server.entry.serverId)?.state
   const hasBegun = state?.loadingModel === modelName && state.loadingForMs > 0
   const leftMs = Math.max(STOPPING_RETRY_MS, readyAtMs - context.timers.nowMs())
-  return { type: 'late', reason: STOPPING, retryAfterMs: hasBegun ? leftMs : STOPPING_RETRY_MS }
+  return { type: 'late', reason: STOPPING_REASON, retryAfterMs: hasBegun ? leftMs : STOPPING_RETRY_MS }
 }
 
 /**
@@ -40,18 +40,18 @@
   const spec = findEngine(context.deployment(), request.serviceName)
   const model = spec?.models.find(candidate => candidate.name === modelName)
   if (!spec || !model) return { type: 'late', reason: 'the model is not of this service', retryAfterMs: NO_SERVER_RETRY_MS }
-  const unmetForMs = context.unmet.note(modelName)
+  const unmetForMs = context.unmetModels.note(modelName)
   const loader = findLoader(context, spec, model, servers, unmetForMs)
   if (!loader) return { type: 'late', reason: 'no agent can load the model', retryAfterMs: NO_SERVER_RETRY_MS }
   const { readyInMs, agent } = loader
   const { serverId, address } = loader.server.entry
   const readyAtMs = context.timers.nowMs() + readyInMs
-  if (readyAtMs > bounds.lastSendMs()) return endByStop(context, loader, modelName, readyAtMs)
+  if (readyAtMs > bounds.lastSendMs()) return endWaitAtStop(context, loader, modelName, readyAtMs)
   const isNewColdLoad = loader.isCold && !loader.isLoading
   if (isNewColdLoad && context.coldLoads.count() >= context.coldLoads.limit()) {
     return { type: 'late', reason: 'the weight store is busy', retryAfterMs: readyInMs + model.coldLoadMs }
   }
-  if (isNewColdLoad) context.coldLoads.noteAsked(address)
+  if (isNewColdLoad) context.coldLoads.noteRequested(address)
   const { isHopeless, keptMs } = planWait({ readyInMs, leftMs: bounds.callerLeavesMs() - context.timers.nowMs() })
   context.events.emit(GatewayEvent.modelAwaited, {
     requestKey: requestId,
@@ -64,18 +64,18 @@
   })
   const want = agent.want({ serverId, modelName, adapterName: '', waitingCount: 1, lateCount: 0, unmetForMs: Math.round(unmetForMs), timeLeftMs: keptMs })
   if (isHopeless) return { type: 'late', reason: 'the model comes too late', retryAfterMs: readyInMs }
-  const stopWatching = watchElsewhere(context, request, loader, want)
-  const chooseAnew = (): Loader | undefined =>
+  const stopWatching = watchLoadsElsewhere(context, request, loader, want)
+  const rechoose = (): Loader | undefined =>
     findLoader(context, spec, model, context.directory.serving(request.serviceName), unmetForMs)
-  const stopChoosing = watchSooner(context, spec, modelName, loader, chooseAnew, want)
+  const stopChoosing = watchFasterLoader(context, spec, modelName, loader, rechoose, want)
   const stopLimiting = limitWait({
-    stop: context.stop, timers: context.timers, lastSendMs: bounds.lastSendMs, readyAtMs, giveUp: () => want.drop(STOPPING)
+    stop: context.stop, timers: context.timers, lastSendMs: bounds.lastSendMs, readyAtMs, giveUp: () => want.drop(STOPPING_REASON)
   })
   const outcome = await awaitWant(request, want)
   stopWatching()
   stopChoosing()
   stopLimiting()
-  if (outcome.reason === STOPPING) return endByStop(context, loader, modelName, readyAtMs)
-  if (outcome.isReady || outcome.reason === MOVED) return { type: 'changed' }
+  if (outcome.reason === STOPPING_REASON) return endWaitAtStop(context, loader, modelName, readyAtMs)
+  if (outcome.isReady || outcome.reason === MOVED_REASON) return { type: 'changed' }
   return { type: outcome.isLost ? 'lost' : 'late', reason: outcome.reason, retryAfterMs: NO_SERVER_RETRY_MS }
 }
--- a/packages/gateway/src/requests/awaitWant.ts
+++ b/packages/gateway/src/requests/awaitWant.ts
@@ -2,7 +2,7 @@
 import type { RoutedRequest } from './types.js'
 
 /** How a wait ended without what was waited for; it may be there after `retryAfterMs`. */
-export interface LateWait {
+export interface RefusedWait {
   readonly type: 'late'
   readonly reason: string
   readonly retryAfterMs: number
@@ -19,8 +19,8 @@
 /** Waits for a want's end, and takes it back when the caller leaves. */
 export const awaitWant = async (request: RoutedRequest, want: OpenWant): Promise<WantOutcome> => {
   const leave = (): void => want.drop('the caller left')
-  request.left.addEventListener('abort', leave, { once: true })
+  request.callerLeft.addEventListener('abort', leave, { once: true })
   const outcome = await want.outcome
-  request.left.removeEventListener('abort', leave)
+  request.callerLeft.removeEventListener('abort', leave)
   return outcome
 }
--- a/packages/gateway/src/requests/chooseServer.ts
+++ b/packages/gateway/src/requests/chooseServer.ts
@@ -13,7 +13,7 @@
   /** Prompt tokens that the server has to compute. */
   readonly newTokens: number
   /** Time until the engine has a place for the request. */
-  readonly placeWaitMs: number
+  readonly slotWaitMs: number
 }
 
 /** Chooses among the servers that hold the request's model; undefined when none does. */
@@ -24,13 +24,13 @@
   const [best] = rankServers(ranked, views)
   const server = servers.find(candidate => candidate.entry.serverId === best?.serverId)
   if (!best || !server) return undefined
-  const alone = { ...best, pendingTokens: 0, startingCount: 0, runningCount: 0 }
-  context.relief.note(context, request, servers, estimateFirstEventMs(ranked, best) - estimateFirstEventMs(ranked, alone))
-  const placeWaitMs = estimatePlaceWaitMs({
+  const idle = { ...best, pendingTokens: 0, startingCount: 0, runningCount: 0 }
+  context.queueScaler.note(context, request, servers, estimateFirstEventMs(ranked, best) - estimateFirstEventMs(ranked, idle))
+  const slotWaitMs = estimatePlaceWaitMs({
     placeCount: server.entry.slots,
     runningCount: best.runningCount,
     startingCount: best.startingCount + server.ownStartingCount,
     occupancyMs: context.occupancy.meanMs()
   })
-  return { server, adapterWaitMs: best.adapterWaitMs, newTokens: Math.max(0, promptTokens - best.cachedTokens), placeWaitMs }
+  return { server, adapterWaitMs: best.adapterWaitMs, newTokens: Math.max(0, promptTokens - best.cachedTokens), slotWaitMs }
 }
--- a/packages/gateway/src/requests/streamToCaller.test.ts
+++ b/packages/gateway/src/requests/createCallerStream.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai'
 import { createEventLog, createMetrics, createVirtualTimers } from '@figmount/base'
 
-import { createCallerStream } from './streamToCaller.js'
+import { createCallerStream } from './createCallerStream.js'
 
 import type { InstanceName } from '@figmount/base'
 import type { GatewayContext, RoutedRequest } from './types.js'
--- a/packages/gateway/src/requests/streamToCaller.ts
+++ b/packages/gateway/src/requests/createCallerStream.ts
@@ -1,7 +1,7 @@
-import { endWhenTaken, endWithConnection, noteAnswered } from './endRequest.js'
+import { endAfterDrain, delimitByClose, noteAnswered } from './endRequest.js'
 
 import type { RawHeaders } from '@figmount/fleet'
-import type { StreamEvent } from '../streams/splitEvents.js'
+import type { StreamEvent } from '../streams/createEventSplitter.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** What a caller has of its stream, over all runs. */
@@ -33,13 +33,13 @@
   let head: { readonly status: number, readonly headers: RawHeaders, readonly isFramed: boolean } | undefined
   let lastEventId = request.caller.lastEventId
   let lastNumber: number | undefined
-  let gap = false
+  let isGapSeen = false
   let firstEventMs: number | undefined
   let lastEventMs = request.arrivedMs
 
-  const begin = (): void => {
+  const sendHead = (): void => {
     if (!head || response.headersSent || response.destroyed) return
-    if (!head.isFramed) endWithConnection(request)
+    if (!head.isFramed) delimitByClose(request)
     response.writeHead(head.status, [...head.headers])
     response.flushHeaders()
     firstEventMs = context.timers.nowMs() - request.arrivedMs
@@ -48,12 +48,12 @@
 
   // Guards against a piece that comes twice or is missing where two runs are joined: ids grow by one, so the caller
   // gets each once and a jump shows.
-  const follows = (event: StreamEvent): boolean => {
+  const acceptEvent = (event: StreamEvent): boolean => {
     if (event.eventId === '') return true
     if (lastEventId !== '' && !isSuccessor(lastEventId, event.eventId)) return false
     const number = Number(event.eventId)
     if (Number.isInteger(number)) {
-      if (lastNumber !== undefined && number !== lastNumber + 1) gap = true
+      if (lastNumber !== undefined && number !== lastNumber + 1) isGapSeen = true
       lastNumber = number
     }
     lastEventId = event.eventId
@@ -63,21 +63,21 @@
   return {
     open: (status, headers, isFramed) => { head ??= { status, headers, isFramed } },
     take: event => {
-      if (!follows(event)) return true
-      if (gap || response.destroyed) return true
+      if (!acceptEvent(event)) return true
+      if (isGapSeen || response.destroyed) return true
       lastEventMs = context.timers.nowMs()
-      begin()
+      sendHead()
       return response.write(event.bytes)
     },
     onceDrained: resume => { response.once('drain', resume) },
     finish: peer => {
-      begin()
+      sendHead()
       noteAnswered(context, request, peer, head?.status ?? 0, firstEventMs)
-      endWhenTaken(response)
+      endAfterDrain(response)
     },
     hasBegun: () => response.headersSent,
     lastEventId: () => lastEventId,
     lastEventMs: () => lastEventMs,
-    hasGap: () => gap
+    hasGap: () => isGapSeen
   }
 }
--- a/packages/gateway/src/requests/endRequest.ts
+++ b/packages/gateway/src/requests/endRequest.ts
@@ -19,15 +19,15 @@
 
 const isOpen = ({ response }: RoutedRequest): boolean => !response.headersSent && !response.destroyed
 
-const nameMs = (context: GatewayContext, request: RoutedRequest): number =>
+const elapsedMs = (context: GatewayContext, request: RoutedRequest): number =>
   Math.round(context.timers.nowMs() - request.arrivedMs)
 
 /** Refuses a request that has not run and never will, and tells when to come back. Its units are free for another one. */
 export const refuse = (context: GatewayContext, request: RoutedRequest, reason: string, retryAfterMs: number): void => {
-  if (request.organisation) context.quotas.giveBack(request.organisation, request.units)
+  if (request.organisation) context.quotas.refund(request.organisation, request.units)
   context.metrics.count('requests_refused_total')
   context.events.emit(GatewayEvent.requestRefused, {
-    requestKey: request.caller.requestId, reason, retryAfterMs: Math.round(retryAfterMs), waitMs: nameMs(context, request)
+    requestKey: request.caller.requestId, reason, retryAfterMs: Math.round(retryAfterMs), waitMs: elapsedMs(context, request)
   })
   if (!isOpen(request)) return
   request.response.writeHead(Status.Unavailable, [...context.codec.encodeRefusal(request.caller.requestId, retryAfterMs)])
@@ -38,7 +38,7 @@
 export const fail = (context: GatewayContext, request: RoutedRequest, reason: string, peer: string): void => {
   const isLate = context.timers.nowMs() >= request.untilMs
   context.metrics.count('requests_failed_total')
-  context.events.emit(GatewayEvent.requestFailed, { requestKey: request.caller.requestId, reason, peer, waitMs: nameMs(context, request) })
+  context.events.emit(GatewayEvent.requestFailed, { requestKey: request.caller.requestId, reason, peer, waitMs: elapsedMs(context, request) })
   if (!isOpen(request)) {
     request.response.destroy()
     return
@@ -54,7 +54,7 @@
  * that was closed after the whole. With a length of figmount's own the half would look complete for certain; passed on as
  * it came, the caller knows as much as figmount does.
  */
-export const endWithConnection = ({ response }: RoutedRequest): void => {
+export const delimitByClose = ({ response }: RoutedRequest): void => {
   response.shouldKeepAlive = false
   response.useChunkedEncodingByDefault = false
 }
@@ -65,21 +65,21 @@
  * Guards against a caller that reads slowly: Node takes a connection for idle as soon as its answer is ended, and a
  * router that stops would close it with the rest unsent.
  */
-export const endWhenTaken = (response: ServerResponse): void => {
+export const endAfterDrain = (response: ServerResponse): void => {
   if (response.writableNeedDrain) response.once('drain', () => response.end())
   else response.end()
 }
 
 /** Gives the caller a server's answer that was read whole. */
-export const answerWhole = (
+export const sendAnswer = (
   context: GatewayContext, request: RoutedRequest, status: number, headers: RawHeaders, body: Buffer, peer: string, isFramed: boolean
 ): void => {
   noteAnswered(context, request, peer, status)
   if (!isOpen(request)) return
-  if (!isFramed) endWithConnection(request)
+  if (!isFramed) delimitByClose(request)
   request.response.writeHead(status, [...headers, ...(isFramed ? ['content-length', String(body.length)] : [])])
   request.response.write(body)
-  endWhenTaken(request.response)
+  endAfterDrain(request.response)
 }
 
 /** Logs and counts an answer that was given whole; `firstEventMs` is the time from arrival to a stream's first event. */
@@ -91,7 +91,7 @@
 }
 
 /** Logs that the caller left. */
-export const noteLeft = (context: GatewayContext, request: RoutedRequest): void => {
+export const noteCallerLeft = (context: GatewayContext, request: RoutedRequest): void => {
   context.metrics.count('requests_left_total')
-  context.events.emit(GatewayEvent.requestLeft, { requestKey: request.caller.requestId, waitMs: nameMs(context, request) })
+  context.events.emit(GatewayEvent.requestLeft, { requestKey: request.caller.requestId, waitMs: elapsedMs(context, request) })
 }
--- a/packages/gateway/src/requests/limitExchange.ts
+++ b/packages/gateway/src/requests/limitExchange.ts
@@ -16,19 +16,19 @@
  * leaves, or lose its connection without an answer when the router stops.
  */
 export const limitExchange = (context: GatewayContext, request: RoutedRequest, graceMs: number): ExchangeLimit => {
-  const cutting = new AbortController()
-  const cut = (): void => cutting.abort()
+  const aborting = new AbortController()
+  const cut = (): void => aborting.abort()
   const stopTimer = context.timers.after(Math.max(0, request.untilMs + graceMs - context.timers.nowMs()), cut)
   const unsubscribe = context.stop.onEnded(cut)
-  if (request.left.aborted) cut()
-  request.left.addEventListener('abort', cut, { once: true })
+  if (request.callerLeft.aborted) cut()
+  request.callerLeft.addEventListener('abort', cut, { once: true })
   return {
-    signal: cutting.signal,
+    signal: aborting.signal,
     cut,
     release: () => {
       stopTimer()
       unsubscribe()
-      request.left.removeEventListener('abort', cut)
+      request.callerLeft.removeEventListener('abort', cut)
     }
   }
 }
--- a/packages/gateway/src/requests/exchange.ts
+++ b/packages/gateway/src/requests/openExchange.ts
@@ -1,6 +1,6 @@
 import { sendToServer } from '../forwarding/sendToServer.js'
 import { GatewayEvent } from '../events.js'
-import { ANSWER_GRACE_MS, ARRIVAL_MS } from './constants.js'
+import { ANSWER_GRACE_MS, REQUEST_ARRIVAL_MS } from './constants.js'
 
 import type { Either } from 'purify-ts'
 import type { KnownServer } from '../directory/types.js'
@@ -32,10 +32,10 @@
     headers: [...forwarded, ...framing],
     body: request.body,
     headTimeoutMs: leftMs + ANSWER_GRACE_MS,
-    mayBeOnItsWay: () => context.directory.heardMs(address) < sentMs + ARRIVAL_MS
+    mayBeInTransit: () => context.directory.lastMessageMs(address) < sentMs + REQUEST_ARRIVAL_MS
   }, signal)
 }
 
 /** The answer belongs to another request: a late one on a kept connection, or a stranger's. */
-export const isForeign = (request: RoutedRequest, open: OpenAnswer): boolean =>
+export const isMismatchedAnswer = (request: RoutedRequest, open: OpenAnswer): boolean =>
   open.answer.requestId !== '' && open.answer.requestId !== request.caller.requestId
--- a/packages/gateway/src/requests/runAt.ts
+++ b/packages/gateway/src/requests/runOnServer.ts
@@ -1,24 +1,24 @@
 import { countsAsFailure } from '@figmount/decisions'
 
-import { DEATH_LOOK_MS } from './constants.js'
+import { DEATH_CHECK_PERIOD_MS } from './constants.js'
 import { limitExchange } from './limitExchange.js'
 import { runStream } from './runStream.js'
 
 import type { ServerChoice } from './chooseServer.js'
 import type { RunEnd } from './runStream.js'
-import type { CallerStream } from './streamToCaller.js'
+import type { CallerStream } from './createCallerStream.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** Runs the request at the chosen server and keeps the router's books on it. */
-export const runAt = async (context: GatewayContext, request: RoutedRequest, choice: ServerChoice, stream: CallerStream): Promise<RunEnd> => {
+export const runOnServer = async (context: GatewayContext, request: RoutedRequest, choice: ServerChoice, stream: CallerStream): Promise<RunEnd> => {
   const { directory } = context
   const { start } = choice.server
   const { modelName, adapterName, promptParts } = request.caller
   const limit = limitExchange(context, request, 0)
   // Guards against an engine that dies without closing its connections: a stream that may go on elsewhere would be silent
   // until its caller leaves, though the agent beside the engine has told of its death.
-  const stopLooking = request.route.isResumable
-    ? context.timers.every(DEATH_LOOK_MS, () => { if (directory.isDead(start)) limit.cut() })
+  const stopDeathChecks = request.route.isResumable
+    ? context.timers.every(DEATH_CHECK_PERIOD_MS, () => { if (directory.isDead(start)) limit.cut() })
     : () => {}
   let isPending = true
   let startedMs = 0
@@ -39,10 +39,10 @@
   directory.own.noteRunEnd(start, modelName)
   if (end.type === 'finished') context.occupancy.note(context.timers.nowMs() - startedMs)
   limit.release()
-  stopLooking()
+  stopDeathChecks()
   directory.noteOutcome(start, countsAsFailure({
-    hasFailed: end.type === 'broken' || (end.type === 'notRun' && !end.isMisplaced),
-    hasLeft: request.left.aborted,
+    hasFailed: end.type === 'broken' || (end.type === 'notRun' && !end.isMisdirected),
+    hasLeft: request.callerLeft.aborted,
     isSilent,
     waitedMs: context.timers.nowMs() - sentMs
   }))
--- a/packages/gateway/src/requests/runStream.ts
+++ b/packages/gateway/src/requests/runStream.ts
@@ -1,12 +1,12 @@
-import { hasFraming } from '../forwarding/isWhole.js'
-import { readWhole } from '../forwarding/readWhole.js'
+import { hasFraming } from '../forwarding/isComplete.js'
+import { readAnswer } from '../forwarding/readAnswer.js'
 import { relayEvents } from '../streams/relayEvents.js'
-import { answerWhole } from './endRequest.js'
-import { isForeign, openExchange } from './exchange.js'
+import { sendAnswer } from './endRequest.js'
+import { isMismatchedAnswer, openExchange } from './openExchange.js'
 
 import type { KnownServer } from '../directory/types.js'
 import type { OpenAnswer } from '../forwarding/types.js'
-import type { CallerStream } from './streamToCaller.js'
+import type { CallerStream } from './createCallerStream.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** How one run of a stream ended. */
@@ -16,7 +16,7 @@
   /** The caller has another answer of the server's, which was read whole. */
   | { readonly type: 'answered' }
   /** The server states that it has not run the request, or nothing was sent. */
-  | { readonly type: 'notRun', readonly reason: string, readonly isMisplaced: boolean }
+  | { readonly type: 'notRun', readonly reason: string, readonly isMisdirected: boolean }
   | { readonly type: 'broken', readonly reason: string }
 
 const OK = 200
@@ -47,21 +47,21 @@
   if (opened.isLeft()) {
     const { fault, mayHaveRun } = opened.swap().unsafeCoerce()
     if (mayHaveRun) return { type: 'broken', reason: fault.message }
-    return { type: 'notRun', reason: fault.message, isMisplaced: false }
+    return { type: 'notRun', reason: fault.message, isMisdirected: false }
   }
   const open = opened.unsafeCoerce()
   const status = open.message.statusCode ?? 0
-  if (isForeign(request, open)) {
+  if (isMismatchedAnswer(request, open)) {
     open.abort()
     return { type: 'broken', reason: 'answer to another request' }
   }
   if (status === OK && !open.answer.isNotRun) return await relay(context, request, stream, open, firstEvent)
-  const read = await readWhole(open, serverId)
+  const read = await readAnswer(open, serverId)
   if (status === MISDIRECTED || open.answer.isNotRun) {
-    return { type: 'notRun', reason: `turned away with ${status}`, isMisplaced: status === MISDIRECTED }
+    return { type: 'notRun', reason: `turned away with ${status}`, isMisdirected: status === MISDIRECTED }
   }
   if (read.isLeft()) return { type: 'broken', reason: read.swap().unsafeCoerce().message }
   if (stream.hasBegun()) return { type: 'broken', reason: `status ${status}` }
-  answerWhole(context, request, status, context.codec.encodeAnswer(open.message.rawHeaders), read.unsafeCoerce(), serverId, hasFraming(open.message))
+  sendAnswer(context, request, status, context.codec.encodeAnswer(open.message.rawHeaders), read.unsafeCoerce(), serverId, hasFraming(open.message))
   return { type: 'answered' }
 }
--- a/packages/gateway/src/requests/serveModel.test.ts
+++ b/packages/gateway/src/requests/serveModel.test.ts
@@ -4,15 +4,15 @@
 
 import { createDirectory } from '../directory/createDirectory.js'
 import { createDemandMeter } from '../demand/createDemandMeter.js'
-import { createUnmetBook } from '../demand/createUnmetBook.js'
+import { createUnmetModels } from '../demand/createUnmetModels.js'
 import { createColdLoads } from '../placing/createColdLoads.js'
 import { createOccupancyMeter } from '../placing/createOccupancyMeter.js'
-import { createQueueRelief } from '../placing/createQueueRelief.js'
-import { createCrashBook } from '../retries/createCrashBook.js'
+import { createQueueScaler } from '../placing/createQueueScaler.js'
+import { createCrashHistory } from '../retries/createCrashHistory.js'
 import { createStop } from '../stopping/createStop.js'
 import { makeAgentState } from '../testing/makeAgentState.js'
 import { MAX_LOST_LOADS } from './constants.js'
-import { isTooCrowded } from './isTooCrowded.js'
+import { shouldShed } from './shouldShed.js'
 import { serveModel } from './serveModel.js'
 
 import type { InstanceName } from '@figmount/base'
@@ -33,7 +33,7 @@
 const setUp = (answer: (address: string) => WantOutcome | undefined) => {
   const timers = createVirtualTimers()
   const events = createEventLog({ instance: 'r' as InstanceName, role: 'router', timers })
-  const directory = createDirectory({ timers, events, decodeServer: key => Right(entryOf(key)), isServiceNamed: () => true, entryTaken: () => {} })
+  const directory = createDirectory({ timers, events, decodeServer: key => Right(entryOf(key)), isServiceConfigured: () => true, onEntry: () => {} })
   for (const serverId of ['a', 'b']) {
     directory.takeRecords([{ key: serverId, value: Buffer.from('x'), offset: 1 }])
     directory.takeState(`${serverId}:1`, makeAgentState(serverId, { onDisk: ['m'] }))
@@ -55,10 +55,10 @@
       }
     },
     demand: createDemandMeter(timers),
-    unmet: createUnmetBook(timers),
-    crashes: createCrashBook(timers),
+    unmetModels: createUnmetModels(timers),
+    crashes: createCrashHistory(timers),
     stop,
-    relief: createQueueRelief(timers),
+    queueScaler: createQueueScaler(timers),
     coldLoads: createColdLoads(timers, () => MODEL.coldLoadMs),
     occupancy: createOccupancyMeter(),
     agents: {
@@ -86,7 +86,7 @@
     serviceName: 's',
     arrivedMs: 0,
     untilMs: 5_000,
-    left: new AbortController().signal,
+    callerLeft: new AbortController().signal,
     requestHash: 'h',
     response: { headersSent: false, destroyed: false, writeHead: (status: number) => { statuses.push(status) }, end: () => {} }
   } as unknown as RoutedRequest
@@ -211,7 +211,7 @@
     await serveModel(crowded, { ...request, route: route(1), priority: 1 })
     expect(statuses).to.deep.equal([503])
     expect(retriesMs).to.deep.equal([1_500])
-    expect(isTooCrowded(crowded, { ...request, route: route(1), priority: 1 }, 8_000, 5_000)).to.equal(true)
-    expect(isTooCrowded(crowded, { ...request, route: route(0), priority: 0 }, 8_000, 5_000)).to.equal(false)
+    expect(shouldShed(crowded, { ...request, route: route(1), priority: 1 }, 8_000, 5_000)).to.equal(true)
+    expect(shouldShed(crowded, { ...request, route: route(0), priority: 0 }, 8_000, 5_000)).to.equal(false)
   })
 })
--- a/packages/gateway/src/requests/serveModel.ts
+++ b/packages/gateway/src/requests/serveModel.ts
@@ -4,11 +4,11 @@
 import { awaitAdapter } from './awaitAdapter.js'
 import { awaitModel } from './awaitModel.js'
 import { chooseServer } from './chooseServer.js'
-import { CROWDED_RETRY_MS, FULL_RETRY_MS, LEAST_SERVE_MS, MAX_CRASHES, MAX_LOST_LOADS, MAX_TURNED_AWAY, NO_SERVER_RETRY_MS, STOPPING, STOPPING_RETRY_MS } from './constants.js'
-import { fail, noteLeft, refuse } from './endRequest.js'
-import { isTooCrowded } from './isTooCrowded.js'
-import { runAt } from './runAt.js'
-import { createCallerStream } from './streamToCaller.js'
+import { OVERLOAD_RETRY_MS, REJECTED_RETRY_MS, MIN_SERVE_MS, MAX_CRASHES, MAX_LOST_LOADS, MAX_REJECTIONS, NO_SERVER_RETRY_MS, STOPPING_REASON, STOPPING_RETRY_MS } from './constants.js'
+import { fail, noteCallerLeft, refuse } from './endRequest.js'
+import { shouldShed } from './shouldShed.js'
+import { runOnServer } from './runOnServer.js'
+import { createCallerStream } from './createCallerStream.js'
 import { watchCrash } from './watchCrash.js'
 
 import type { WaitBounds } from './awaitWant.js'
@@ -23,21 +23,21 @@
   const { caller, route, serviceName } = request
   const stream = createCallerStream(context, request)
   // By start: a server that has restarted under its id is as good as another one.
-  const avoided = new Set<string>()
-  let runs = 0
-  let sends = 0
-  let turnedAway = 0
-  let lostLoads = 0
+  const excludedStarts = new Set<string>()
+  let runCount = 0
+  let sendCount = 0
+  let rejectionCount = 0
+  let lostLoadCount = 0
   let lastPeer = ''
 
   const bounds: WaitBounds = {
-    lastSendMs: () => runs > 0 ? stop.lastRepeatMs() : stop.lastSendMs(route.objectiveMs),
+    lastSendMs: () => runCount > 0 ? stop.lastRetryMs() : stop.lastSendMs(route.objectiveMs),
     callerLeavesMs: () => Math.min(request.untilMs, stream.lastEventMs() + route.patienceMs)
   }
 
   const giveUp = (reason: string, retryAfterMs: number): void => {
-    if (request.left.aborted) return noteLeft(context, request)
-    if (runs > 0) return fail(context, request, reason, lastPeer)
+    if (request.callerLeft.aborted) return noteCallerLeft(context, request)
+    if (runCount > 0) return fail(context, request, reason, lastPeer)
     refuse(context, request, reason, retryAfterMs)
   }
 
@@ -47,55 +47,55 @@
   }
 
   for (;;) {
-    if (request.left.aborted || request.untilMs - timers.nowMs() < LEAST_SERVE_MS) return giveUp('no time left', FULL_RETRY_MS)
-    if (timers.nowMs() >= bounds.lastSendMs()) return giveUp(STOPPING, STOPPING_RETRY_MS)
-    const servers = directory.serving(serviceName).filter(server => !avoided.has(startKeyOf(server.start)))
+    if (request.callerLeft.aborted || request.untilMs - timers.nowMs() < MIN_SERVE_MS) return giveUp('no time left', REJECTED_RETRY_MS)
+    if (timers.nowMs() >= bounds.lastSendMs()) return giveUp(STOPPING_REASON, STOPPING_RETRY_MS)
+    const servers = directory.serving(serviceName).filter(server => !excludedStarts.has(startKeyOf(server.start)))
     if (servers.length === 0) return giveUp('no server', NO_SERVER_RETRY_MS)
     const choice = chooseServer(context, request, servers)
     if (!choice) {
       const wait = await awaitModel(context, request, servers, bounds)
       // An engine that dies in the middle of a load has lost its waiting callers nothing but time: another one is asked.
       if (wait.type === 'changed') continue
-      lostLoads += Number(wait.type === 'lost')
-      if (wait.type === 'lost' && lostLoads <= MAX_LOST_LOADS) continue
+      lostLoadCount += Number(wait.type === 'lost')
+      if (wait.type === 'lost' && lostLoadCount <= MAX_LOST_LOADS) continue
       return giveUp(wait.reason, wait.retryAfterMs)
     }
-    context.unmet.settle(caller.modelName)
+    context.unmetModels.settle(caller.modelName)
     const { start, entry: { serverId } } = choice.server
-    if (sends === 0 && isTooCrowded(context, request, choice.placeWaitMs, bounds.callerLeavesMs() - timers.nowMs())) {
-      context.events.emit(GatewayEvent.requestCrowded, { requestKey: caller.requestId, model: caller.modelName, peer: serverId, waitMs: Math.round(choice.placeWaitMs) })
-      return giveUp('the engines with the model are full', CROWDED_RETRY_MS * (1 + context.random()))
+    if (sendCount === 0 && shouldShed(context, request, choice.slotWaitMs, bounds.callerLeavesMs() - timers.nowMs())) {
+      context.events.emit(GatewayEvent.requestCrowded, { requestKey: caller.requestId, model: caller.modelName, peer: serverId, waitMs: Math.round(choice.slotWaitMs) })
+      return giveUp('the engines with the model are full', OVERLOAD_RETRY_MS * (1 + context.random()))
     }
     const wait = choice.adapterWaitMs === 0 ? undefined : await awaitAdapter(context, request, choice.server, choice.adapterWaitMs, bounds)
     if (wait?.type === 'late') return giveUp(wait.reason, wait.retryAfterMs)
     if (wait?.type === 'missed') {
-      turnedAway += 1
-      avoided.add(startKeyOf(start))
-      if (turnedAway >= MAX_TURNED_AWAY) return giveUp('the adapter did not come', FULL_RETRY_MS)
+      rejectionCount += 1
+      excludedStarts.add(startKeyOf(start))
+      if (rejectionCount >= MAX_REJECTIONS) return giveUp('the adapter did not come', REJECTED_RETRY_MS)
       continue
     }
-    if (request.left.aborted) return noteLeft(context, request)
-    if (sends > 0 && !budget.takeRepeat(serviceName, context.routerCount())) return giveUp('no repeats left', FULL_RETRY_MS)
-    if (runs > 0 && request.organisation) context.quotas.charge(request.organisation, request.units)
-    if (sends > 0) context.events.emit(GatewayEvent.requestRepeated, { requestKey: caller.requestId, peer: serverId, count: sends })
-    sends += 1
+    if (request.callerLeft.aborted) return noteCallerLeft(context, request)
+    if (sendCount > 0 && !budget.takeRetry(serviceName, context.routerCount())) return giveUp('no repeats left', REJECTED_RETRY_MS)
+    if (runCount > 0 && request.organisation) context.quotas.charge(request.organisation, request.units)
+    if (sendCount > 0) context.events.emit(GatewayEvent.requestRepeated, { requestKey: caller.requestId, peer: serverId, count: sendCount })
+    sendCount += 1
     lastPeer = serverId
-    const end = await runAt(context, request, choice, stream)
+    const end = await runOnServer(context, request, choice, stream)
     if (end.type === 'answered') return
     if (end.type === 'finished') return stream.finish(serverId)
     // A run that was cut says nothing about the server by itself.
-    const wasCut = request.left.aborted || timers.nowMs() >= request.untilMs || stop.isEnded()
-    if (end.type === 'broken') watchCrash(context, request, choice.server, wasCut)
-    if (request.left.aborted) return noteLeft(context, request)
-    avoided.add(startKeyOf(start))
+    const wasAborted = request.callerLeft.aborted || timers.nowMs() >= request.untilMs || stop.isEnded()
+    if (end.type === 'broken') watchCrash(context, request, choice.server, wasAborted)
+    if (request.callerLeft.aborted) return noteCallerLeft(context, request)
+    excludedStarts.add(startKeyOf(start))
     if (end.type === 'notRun') {
-      turnedAway += 1
-      if (turnedAway >= MAX_TURNED_AWAY) return giveUp(end.reason, FULL_RETRY_MS)
+      rejectionCount += 1
+      if (rejectionCount >= MAX_REJECTIONS) return giveUp(end.reason, REJECTED_RETRY_MS)
       continue
     }
-    runs += 1
-    const mayGoOn = route.isResumable && runs < route.maxAttempts && !stream.hasGap()
-    if (!mayGoOn) return fail(context, request, end.reason, serverId)
+    runCount += 1
+    const mayResume = route.isResumable && runCount < route.maxAttempts && !stream.hasGap()
+    if (!mayResume) return fail(context, request, end.reason, serverId)
     context.events.emit(GatewayEvent.streamResumed, { requestKey: caller.requestId, reason: end.reason, peer: serverId, detail: stream.lastEventId() })
   }
 }
--- a/packages/gateway/src/requests/servePlain.test.ts
+++ b/packages/gateway/src/requests/servePlain.test.ts
@@ -35,7 +35,7 @@
       serviceName: 's',
       arrivedMs: 0,
       untilMs: STOP_MS,
-      left: new AbortController().signal,
+      callerLeft: new AbortController().signal,
       response: { headersSent: false, destroyed: false, writeHead: () => {}, end: () => {} }
     } as unknown as RoutedRequest
     stop.ask()
--- a/packages/gateway/src/requests/servePlain.ts
+++ b/packages/gateway/src/requests/servePlain.ts
@@ -2,18 +2,18 @@
 import { countsAsFailure, rankServers } from '@figmount/decisions'
 
 import { GatewayEvent } from '../events.js'
-import { hasFraming } from '../forwarding/isWhole.js'
-import { readWhole } from '../forwarding/readWhole.js'
-import { ANSWER_GRACE_MS, FULL_RETRY_MS, LEAST_SERVE_MS, MAX_TURNED_AWAY, NO_SERVER_RETRY_MS, STOPPING, STOPPING_RETRY_MS } from './constants.js'
-import { answerWhole, fail, noteLeft, refuse } from './endRequest.js'
-import { isForeign, openExchange } from './exchange.js'
+import { hasFraming } from '../forwarding/isComplete.js'
+import { readAnswer } from '../forwarding/readAnswer.js'
+import { ANSWER_GRACE_MS, REJECTED_RETRY_MS, MIN_SERVE_MS, MAX_REJECTIONS, NO_SERVER_RETRY_MS, STOPPING_REASON, STOPPING_RETRY_MS } from './constants.js'
+import { sendAnswer, fail, noteCallerLeft, refuse } from './endRequest.js'
+import { isMismatchedAnswer, openExchange } from './openExchange.js'
 import { limitExchange } from './limitExchange.js'
 
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** How one try at one server ended. */
-type TryEnd =
+type AttemptEnd =
   | { readonly type: 'answered' }
   | { readonly type: 'notRun', readonly reason: string }
   | { readonly type: 'notSent', readonly reason: string }
@@ -24,9 +24,9 @@
 const FIRST_SERVER_ERROR = 500
 const MISDIRECTED = 421
 
-const choose = (context: GatewayContext, request: RoutedRequest, tried: ReadonlySet<string>): KnownServer | undefined => {
+const choose = (context: GatewayContext, request: RoutedRequest, triedStarts: ReadonlySet<string>): KnownServer | undefined => {
   const { directory } = context
-  const servers = directory.serving(request.serviceName).filter(server => !tried.has(startKeyOf(server.start)))
+  const servers = directory.serving(request.serviceName).filter(server => !triedStarts.has(startKeyOf(server.start)))
   const offset = Math.floor(context.random() * servers.length)
   // Equal servers are taken in a random order, so that routers don't all begin with the same one.
   const shuffled = [...servers.slice(offset), ...servers.slice(0, offset)]
@@ -44,7 +44,7 @@
   return servers.find(server => server.entry.serverId === best?.serverId)
 }
 
-const tryOnce = async (context: GatewayContext, request: RoutedRequest, server: KnownServer, signal: AbortSignal): Promise<TryEnd> => {
+const tryOnce = async (context: GatewayContext, request: RoutedRequest, server: KnownServer, signal: AbortSignal): Promise<AttemptEnd> => {
   const { serverId } = server.entry
   const opened = await openExchange(context, request, server, '', signal)
   if (opened.isLeft()) {
@@ -52,19 +52,19 @@
     return { type: mayHaveRun ? 'unknown' : 'notSent', reason: fault.message }
   }
   const open = opened.unsafeCoerce()
-  if (isForeign(request, open)) {
+  if (isMismatchedAnswer(request, open)) {
     open.abort()
     return { type: 'unknown', reason: 'answer to another request' }
   }
   const status = open.message.statusCode ?? 0
-  const read = await readWhole(open, serverId)
+  const read = await readAnswer(open, serverId)
   if (open.answer.isNotRun || status === MISDIRECTED) {
     if (status === MISDIRECTED) context.directory.noteReplaced(server.start)
     return { type: 'notRun', reason: `turned away with ${status}` }
   }
   if (read.isLeft()) return { type: 'unknown', reason: read.swap().unsafeCoerce().message }
   const deliver = (): void => {
-    answerWhole(context, request, status, context.codec.encodeAnswer(open.message.rawHeaders), read.unsafeCoerce(), serverId, hasFraming(open.message))
+    sendAnswer(context, request, status, context.codec.encodeAnswer(open.message.rawHeaders), read.unsafeCoerce(), serverId, hasFraming(open.message))
   }
   if (status >= FIRST_SERVER_ERROR) return { type: 'failed', status, deliver }
   deliver()
@@ -80,26 +80,26 @@
   const { directory, budget, timers, stop } = context
   const mayRunAgain = request.route.kind === RequestKind.Idempotent
   const tried = new Set<string>()
-  let runs = 0
-  let turnedAway = 0
-  let pending: (() => void) | undefined
+  let runCount = 0
+  let rejectionCount = 0
+  let deliverFailed: (() => void) | undefined
   let lastPeer = ''
 
-  const finish = (reason: string, retryAfterMs = tried.size > 0 ? FULL_RETRY_MS : NO_SERVER_RETRY_MS): void => {
-    if (request.left.aborted) return noteLeft(context, request)
-    if (pending) return pending()
-    if (runs > 0) return fail(context, request, reason, lastPeer)
+  const finish = (reason: string, retryAfterMs = tried.size > 0 ? REJECTED_RETRY_MS : NO_SERVER_RETRY_MS): void => {
+    if (request.callerLeft.aborted) return noteCallerLeft(context, request)
+    if (deliverFailed) return deliverFailed()
+    if (runCount > 0) return fail(context, request, reason, lastPeer)
     refuse(context, request, reason, retryAfterMs)
   }
 
   for (;;) {
-    if (request.left.aborted || request.untilMs - timers.nowMs() < LEAST_SERVE_MS) return finish('no time left')
-    const lastSendMs = runs > 0 ? stop.lastRepeatMs() : stop.lastSendMs(request.route.objectiveMs)
-    if (timers.nowMs() >= lastSendMs) return finish(STOPPING, STOPPING_RETRY_MS)
+    if (request.callerLeft.aborted || request.untilMs - timers.nowMs() < MIN_SERVE_MS) return finish('no time left')
+    const lastSendMs = runCount > 0 ? stop.lastRetryMs() : stop.lastSendMs(request.route.objectiveMs)
+    if (timers.nowMs() >= lastSendMs) return finish(STOPPING_REASON, STOPPING_RETRY_MS)
     const server = choose(context, request, tried)
     if (!server) return finish(tried.size > 0 ? 'no other server' : 'no server')
-    if (tried.size > 0 && !budget.takeRepeat(request.serviceName, context.routerCount())) return finish('no repeats left')
-    if (runs > 0 && request.organisation) context.quotas.charge(request.organisation, request.units)
+    if (tried.size > 0 && !budget.takeRetry(request.serviceName, context.routerCount())) return finish('no repeats left')
+    if (runCount > 0 && request.organisation) context.quotas.charge(request.organisation, request.units)
     const { start, entry: { serverId } } = server
     if (tried.size > 0) context.events.emit(GatewayEvent.requestRepeated, { requestKey: request.caller.requestId, peer: serverId, count: tried.size })
     tried.add(startKeyOf(start))
@@ -113,20 +113,20 @@
     directory.own.noteEnded(start)
     directory.noteOutcome(start, countsAsFailure({
       hasFailed: end.type === 'unknown' || end.type === 'notSent' || end.type === 'failed',
-      hasLeft: request.left.aborted,
+      hasLeft: request.callerLeft.aborted,
       isSilent: end.type !== 'answered',
       waitedMs: timers.nowMs() - sentMs
     }))
-    if (request.left.aborted) return noteLeft(context, request)
+    if (request.callerLeft.aborted) return noteCallerLeft(context, request)
     if (end.type === 'answered') return
     if (end.type === 'notRun' || end.type === 'notSent') {
-      turnedAway += 1
-      if (turnedAway >= MAX_TURNED_AWAY) return finish(end.reason)
+      rejectionCount += 1
+      if (rejectionCount >= MAX_REJECTIONS) return finish(end.reason)
       continue
     }
-    runs += 1
-    pending = end.type === 'failed' ? end.deliver : undefined
+    runCount += 1
+    deliverFailed = end.type === 'failed' ? end.deliver : undefined
     const reason = end.type === 'failed' ? `status ${end.status}` : end.reason
-    if (!mayRunAgain || runs >= request.route.maxAttempts) return finish(reason)
+    if (!mayRunAgain || runCount >= request.route.maxAttempts) return finish(reason)
   }
 }
--- a/packages/gateway/src/requests/isTooCrowded.ts
+++ b/packages/gateway/src/requests/shouldShed.ts
@@ -4,7 +4,7 @@
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /** An engine takes in more urgent requests first: those that wait for a place do not keep the most urgent ones waiting. */
-const isMostUrgent = (context: GatewayContext, { organisation, priority, serviceName }: RoutedRequest): boolean => {
+const hasTopPriority = (context: GatewayContext, { organisation, priority, serviceName }: RoutedRequest): boolean => {
   const { organisations, routes = [] } = context.deployment() ?? {}
   if (organisation?.priority !== undefined) return !organisations?.all.some(other => other.priority !== undefined && other.priority < priority)
   for (const other of routes) {
@@ -15,5 +15,5 @@
 }
 
 /** Whether the wait for a place at the best engine leaves a request no time before its caller leaves. */
-export const isTooCrowded = (context: GatewayContext, request: RoutedRequest, placeWaitMs: number, leftMs: number): boolean =>
-  planWait({ readyInMs: placeWaitMs, leftMs }).isHopeless && !isMostUrgent(context, request)
+export const shouldShed = (context: GatewayContext, request: RoutedRequest, slotWaitMs: number, leftMs: number): boolean =>
+  planWait({ readyInMs: slotWaitMs, leftMs }).isHopeless && !hasTopPriority(context, request)
--- a/packages/gateway/src/requests/types.ts
+++ b/packages/gateway/src/requests/types.ts
@@ -3,16 +3,16 @@
 import type { CallerRequest, Deployment, HeaderCodec, Organisation, RawHeaders, Route } from '@figmount/fleet'
 import type { AgentLinks } from '../agents/createAgentLinks.js'
 import type { DemandMeter } from '../demand/createDemandMeter.js'
-import type { UnmetBook } from '../demand/createUnmetBook.js'
+import type { UnmetModels } from '../demand/createUnmetModels.js'
 import type { Directory } from '../directory/types.js'
 import type { Quotas } from '../limits/createQuotas.js'
 import type { ConnectionPool } from '../forwarding/createConnectionPool.js'
 import type { ColdLoads } from '../placing/createColdLoads.js'
 import type { OccupancyMeter } from '../placing/createOccupancyMeter.js'
-import type { QueueRelief } from '../placing/createQueueRelief.js'
-import type { RepeatBudget } from '../retries/createRepeatBudget.js'
-import type { CrashTeller } from '../retries/createCrashTeller.js'
-import type { CrashBook } from '../retries/createCrashBook.js'
+import type { QueueScaler } from '../placing/createQueueScaler.js'
+import type { RetryBudget } from '../retries/createRetryBudget.js'
+import type { CrashNotifier } from '../retries/createCrashNotifier.js'
+import type { CrashHistory } from '../retries/createCrashHistory.js'
 import type { Stop } from '../stopping/types.js'
 
 /** What serving a request needs of its router. */
@@ -24,13 +24,13 @@
   readonly directory: Directory
   readonly agents: AgentLinks
   readonly demand: DemandMeter
-  readonly unmet: UnmetBook
+  readonly unmetModels: UnmetModels
   readonly pool: ConnectionPool
-  readonly budget: RepeatBudget
+  readonly budget: RetryBudget
   readonly quotas: Quotas
-  readonly crashes: CrashBook
-  readonly crashTeller: CrashTeller
-  readonly relief: QueueRelief
+  readonly crashes: CrashHistory
+  readonly crashNotifier: CrashNotifier
+  readonly queueScaler: QueueScaler
   readonly coldLoads: ColdLoads
   readonly occupancy: OccupancyMeter
   readonly dataCentre: string
@@ -61,7 +61,7 @@
   readonly untilMs: number
   readonly response: ServerResponse
   /** Aborts when the caller leaves. */
-  readonly left: AbortSignal
+  readonly callerLeft: AbortSignal
   /** Hash of what a caller sends again after a crash. */
   readonly requestHash: string
 }
--- a/packages/gateway/src/requests/watchCrash.test.ts
+++ b/packages/gateway/src/requests/watchCrash.test.ts
@@ -3,8 +3,8 @@
 import { createEventLog, createVirtualTimers } from '@figmount/base'
 
 import { createDirectory } from '../directory/createDirectory.js'
-import { createCrashBook } from '../retries/createCrashBook.js'
-import { createCrashTeller } from '../retries/createCrashTeller.js'
+import { createCrashHistory } from '../retries/createCrashHistory.js'
+import { createCrashNotifier } from '../retries/createCrashNotifier.js'
 import { makeAgentState } from '../testing/makeAgentState.js'
 import { watchCrash } from './watchCrash.js'
 
@@ -24,7 +24,7 @@
   let listed = ENTRY
   const timers = createVirtualTimers()
   const events = createEventLog({ instance: 'r' as InstanceName, role: 'router', timers })
-  const directory = createDirectory({ timers, events, decodeServer: () => Right(listed), isServiceNamed: () => true, entryTaken: () => {} })
+  const directory = createDirectory({ timers, events, decodeServer: () => Right(listed), isServiceConfigured: () => true, onEntry: () => {} })
   const list = (given: Partial<ServerEntry> = {}): void => {
     listed = { ...ENTRY, ...given }
     directory.takeRecords([{ key: 'a', value: Buffer.from('x'), offset: 1 }])
@@ -34,8 +34,8 @@
   list()
   directory.takeState(ADDRESS, makeAgentState('a'))
   const relayed: string[] = []
-  const crashes = createCrashBook(timers)
-  const context = { timers, directory, crashes, crashTeller: createCrashTeller(timers, ({ type }) => { relayed.push(type) }) } as unknown as GatewayContext
+  const crashes = createCrashHistory(timers)
+  const context = { timers, directory, crashes, crashNotifier: createCrashNotifier(timers, ({ type }) => { relayed.push(type) }) } as unknown as GatewayContext
   const server = directory.find('a')
   if (!server) throw new Error('the engine is known')
   const breakOff = (wasCut = false): void => { watchCrash(context, { requestHash: 'h' } as unknown as RoutedRequest, server, wasCut) }
--- a/packages/gateway/src/retries/createCrashBook.test.ts
+++ b/packages/gateway/src/retries/createCrashHistory.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai'
 import { createVirtualTimers } from '@figmount/base'
 
-import { createCrashBook } from './createCrashBook.js'
+import { createCrashHistory } from './createCrashHistory.js'
 
 describe('crash book', () => {
   it('counts each start of a server that dies once', () => {
     // Guards against crashes that are missed as the server keeps its id.
-    const book = createCrashBook(createVirtualTimers())
+    const book = createCrashHistory(createVirtualTimers())
     for (const startedAtUnixMs of [1_000, 2_000, 2_000, 3_000]) book.note('h', { serverId: 'a', startedAtUnixMs })
     expect(book.crashCount('h')).to.equal(3)
     expect(book.crashCount('other')).to.equal(0)
--- a/packages/gateway/src/retries/createCrashBook.ts
+++ b/packages/gateway/src/retries/createCrashHistory.ts
@@ -4,7 +4,7 @@
 import type { ServerStart } from '@figmount/fleet'
 
 /** How long a request that crashed servers is remembered: its caller sends it again within seconds, or minutes. */
-const KEEP_MS = 120_000
+const RETENTION_MS = 120_000
 
 /** Requests remembered at a time. */
 const MAX_REQUESTS = 500
@@ -16,32 +16,32 @@
 }
 
 /** Requests that were running when their backend server died. */
-export interface CrashBook {
+export interface CrashHistory {
   readonly note: (requestHash: string, start: ServerStart) => void
   /** Starts of servers that died under the request. */
   readonly crashCount: (requestHash: string) => number
 }
 
 /** Makes the crash book of one router. */
-export const createCrashBook = (timers: TimerService): CrashBook => {
-  const book = new Map<string, Crashes>()
+export const createCrashHistory = (timers: TimerService): CrashHistory => {
+  const crashesByHash = new Map<string, Crashes>()
 
   // Entries stand in the order of their newest crash.
   const trim = (): void => {
     const nowMs = timers.nowMs()
-    for (const [hash, crashes] of book) {
-      if (book.size <= MAX_REQUESTS && nowMs - crashes.lastMs < KEEP_MS) return
-      book.delete(hash)
+    for (const [hash, crashes] of crashesByHash) {
+      if (crashesByHash.size <= MAX_REQUESTS && nowMs - crashes.lastMs < RETENTION_MS) return
+      crashesByHash.delete(hash)
     }
   }
 
   return {
     note: (requestHash, start) => {
       trim()
-      const known = book.get(requestHash)?.startKeys ?? []
-      book.delete(requestHash)
-      book.set(requestHash, { startKeys: new Set([...known, startKeyOf(start)]), lastMs: timers.nowMs() })
+      const known = crashesByHash.get(requestHash)?.startKeys ?? []
+      crashesByHash.delete(requestHash)
+      crashesByHash.set(requestHash, { startKeys: new Set([...known, startKeyOf(start)]), lastMs: timers.nowMs() })
     },
-    crashCount: requestHash => book.get(requestHash)?.startKeys.size ?? 0
+    crashCount: requestHash => crashesByHash.get(requestHash)?.startKeys.size ?? 0
   }
 }
--- a/packages/gateway/src/retries/createCrashTeller.test.ts
+++ b/packages/gateway/src/retries/createCrashNotifier.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { createVirtualTimers } from '@figmount/base'
 
-import { createCrashTeller } from './createCrashTeller.js'
+import { createCrashNotifier } from './createCrashNotifier.js'
 
 import type { CrashNotice } from '@figmount/fleet'
 
@@ -12,10 +12,10 @@
     // Guards against a message for each request of a dead engine to every router.
     const timers = createVirtualTimers()
     const sent: CrashNotice[] = []
-    const teller = createCrashTeller(timers, notice => { sent.push(notice) })
-    for (const hash of ['x', 'y', 'z']) teller.tell(crashOf(hash))
+    const teller = createCrashNotifier(timers, notice => { sent.push(notice) })
+    for (const hash of ['x', 'y', 'z']) teller.notify(crashOf(hash))
     timers.advance(100)
-    teller.tell(crashOf('w'))
+    teller.notify(crashOf('w'))
     timers.advance(100)
     expect(sent.map(({ crashes }) => crashes.map(crash => crash.requestHash))).to.deep.equal([['x', 'y', 'z'], ['w']])
   })
--- a/packages/gateway/src/retries/createCrashTeller.ts
+++ b/packages/gateway/src/retries/createCrashNotifier.ts
@@ -2,11 +2,11 @@
 import type { Crash, CrashNotice } from '@figmount/fleet'
 
 /** Crashes within this time go out as one message; a caller takes longer to send its request again. */
-const GATHER_MS = 50
+const BATCH_MS = 50
 
 /** Tells other routers of requests that were running when their servers died. */
-export interface CrashTeller {
-  readonly tell: (crash: Crash) => void
+export interface CrashNotifier {
+  readonly notify: (crash: Crash) => void
 }
 
 /**
@@ -14,18 +14,18 @@
  *
  * Guards against an engine's death with dozens of requests: told one by one through two agents each, they were thousands of messages at once.
  */
-export const createCrashTeller = (timers: TimerService, send: (notice: CrashNotice) => void): CrashTeller => {
-  let gathered: readonly Crash[] = []
+export const createCrashNotifier = (timers: TimerService, send: (notice: CrashNotice) => void): CrashNotifier => {
+  let batch: readonly Crash[] = []
 
   const flush = (): void => {
-    send({ type: 'crash', crashes: gathered })
-    gathered = []
+    send({ type: 'crash', crashes: batch })
+    batch = []
   }
 
   return {
-    tell: crash => {
-      if (gathered.length === 0) timers.after(GATHER_MS, flush)
-      gathered = [...gathered, crash]
+    notify: crash => {
+      if (batch.length === 0) timers.after(BATCH_MS, flush)
+      batch = [...batch, crash]
     }
   }
 }
--- a/packages/gateway/src/retries/createRepeatBudget.ts
+++ b/packages/gateway/src/retries/createRetryBudget.ts
@@ -9,14 +9,14 @@
 }
 
 /** Repeats that this router may still send, by service. */
-export interface RepeatBudget {
+export interface RetryBudget {
   readonly noteRequest: (serviceName: string) => void
   /** Takes one repeat out, or says that none is left. */
-  readonly takeRepeat: (serviceName: string, routerCount: number) => boolean
+  readonly takeRetry: (serviceName: string, routerCount: number) => boolean
 }
 
 /** Makes the budget of one router. */
-export const createRepeatBudget = (limits: RetryLimits, timers: TimerService): RepeatBudget => {
+export const createRetryBudget = (limits: RetryLimits, timers: TimerService): RetryBudget => {
   const histories = new Map<string, ServiceHistory>()
 
   const historyOf = (serviceName: string): ServiceHistory => {
@@ -41,7 +41,7 @@
 
   return {
     noteRequest: serviceName => { trimmed(serviceName).requestTimesMs.push(timers.nowMs()) },
-    takeRepeat: (serviceName, routerCount) => {
+    takeRetry: (serviceName, routerCount) => {
       const history = trimmed(serviceName)
       if (!mayRepeat(limits, history, routerCount, timers.nowMs())) return false
       history.repeatTimesMs.push(timers.nowMs())
--- a/packages/gateway/src/router/constants.ts
+++ b/packages/gateway/src/router/constants.ts
@@ -17,10 +17,10 @@
 export const LEAVING_PERIOD_MS = 50
 
 /** A starting router waits this long for nearly all agents before it calls itself ready without them. */
-export const AGENT_PATIENCE_MS = 1_500
+export const AGENT_READY_TIMEOUT_MS = 1_500
 
 /** Time between two looks at which agents to be linked to. */
 export const FOLLOW_PERIOD_MS = 500
 
 /** Routers that are assumed until agents tell of more: the repeats that all may send are split by it. */
-export const LEAST_ROUTER_COUNT = 4
+export const MIN_ROUTER_COUNT = 4
--- a/packages/gateway/src/router/createDemandTeller.test.ts
+++ b/packages/gateway/src/router/createDemandReporter.test.ts
@@ -5,7 +5,7 @@
 import { createDemandMeter } from '../demand/createDemandMeter.js'
 import { createDirectory } from '../directory/createDirectory.js'
 import { makeAgentState } from '../testing/makeAgentState.js'
-import { createDemandTeller } from './createDemandTeller.js'
+import { createDemandReporter } from './createDemandReporter.js'
 
 import type { InstanceName } from '@figmount/base'
 import type { RouterMessage, ServerEntry, ServerStart } from '@figmount/fleet'
@@ -19,7 +19,7 @@
 const setUp = () => {
   const timers = createVirtualTimers()
   const events = createEventLog({ instance: 'r' as InstanceName, role: 'router', timers })
-  const directory = createDirectory({ timers, events, decodeServer: key => Right(entryOf(key)), isServiceNamed: () => true, entryTaken: () => {} })
+  const directory = createDirectory({ timers, events, decodeServer: key => Right(entryOf(key)), isServiceConfigured: () => true, onEntry: () => {} })
   directory.takeRecords(['a', 'b'].map(key => ({ key, value: Buffer.from('x'), offset: 1 })))
   const meter = createDemandMeter(timers)
   const sent: RouterMessage[] = []
@@ -32,8 +32,8 @@
     },
     find: () => ({ send: (message: RouterMessage) => sent.push(message) })
   } as unknown as AgentLinks
-  const { tell, tellLeaving } = createDemandTeller(meter, directory, links)
-  return { timers, meter, directory, sent, tell, tellLeaving, relink: () => { isNewLink = true } }
+  const { report, reportLeaving } = createDemandReporter(meter, directory, links)
+  return { timers, meter, directory, sent, tell: report, tellLeaving: reportLeaving, relink: () => { isNewLink = true } }
 }
 
 const modelsOf = (message: RouterMessage | undefined): readonly string[] =>
--- a/packages/gateway/src/router/createDemandTeller.ts
+++ b/packages/gateway/src/router/createDemandReporter.ts
@@ -21,11 +21,11 @@
 }
 
 /** Tells agents of one router's demand. */
-export interface DemandTeller {
+export interface DemandReporter {
   /** Tells each agent what has changed. */
-  readonly tell: () => void
+  readonly report: () => void
   /** Tells agents that wait for the end of a model's requests when the router's own have ended, without waiting for `tell`. */
-  readonly tellLeaving: () => void
+  readonly reportLeaving: () => void
 }
 
 /**
@@ -33,7 +33,7 @@
  *
  * Guards against messages that fill a router's link: told whole to all agents at each change, they keep requests waiting.
  */
-export const createDemandTeller = (meter: DemandMeter, directory: Directory, agents: AgentLinks): DemandTeller => {
+export const createDemandReporter = (meter: DemandMeter, directory: Directory, agents: AgentLinks): DemandReporter => {
   const runningTexts = new Map<string, string>()
   let counts: ReadonlyMap<string, number> = new Map()
 
@@ -43,7 +43,7 @@
     return hasNewRuns
   }
 
-  const tell = (): void => {
+  const report = (): void => {
     const metered = meter.read()
     const all = metered.map(({ demand }) => demand)
     const fresh = metered.filter(({ isNew }) => isNew).map(({ demand }) => demand)
@@ -64,7 +64,7 @@
     })
   }
 
-  const tellLeaving = (): void => {
+  const reportLeaving = (): void => {
     for (const address of directory.leavingAddresses()) {
       const runningModels = directory.runningModels(address)
       if (!noteRuns(address, runningModels.join())) continue
@@ -72,5 +72,5 @@
     }
   }
 
-  return { tell, tellLeaving }
+  return { report, reportLeaving }
 }
--- a/packages/gateway/src/router/createReadTurns.test.ts
+++ b/packages/gateway/src/router/createReadSchedule.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai'
 import { createVirtualTimers } from '@figmount/base'
 
-import { createReadTurns } from './createReadTurns.js'
+import { createReadSchedule } from './createReadSchedule.js'
 
 const setUp = (random = 0) => {
   const timers = createVirtualTimers()
-  return { timers, turns: createReadTurns({ timers, periodMs: 1_800, spreadMs: 600, random: () => random }) }
+  return { timers, turns: createReadSchedule({ timers, periodMs: 1_800, spreadMs: 600, random: () => random }) }
 }
 
 describe('turns to read', () => {
--- a/packages/gateway/src/router/createReadTurns.ts
+++ b/packages/gateway/src/router/createReadSchedule.ts
@@ -10,7 +10,7 @@
 }
 
 /** When one of several routers reads a list that all of them need, and tells the others. */
-export interface ReadTurns {
+export interface ReadSchedule {
   /** The list is known as it was at this time, by an own read or another router's. */
   readonly note: (asOfMs: number) => void
   /** Time until the router reads it itself. */
@@ -24,7 +24,7 @@
  * others, and each draws its next turn at random, so that the first one to read is another one each time. A router that hears
  * of no reads, because the reader has died or its own links are cut, reads at its own turn.
  */
-export const createReadTurns = ({ timers, periodMs, spreadMs, random }: Options): ReadTurns => {
+export const createReadSchedule = ({ timers, periodMs, spreadMs, random }: Options): ReadSchedule => {
   let newestMs = -Infinity
   let dueMs = -Infinity
   return {
--- a/packages/gateway/src/router/takeFeeds.test.ts
+++ b/packages/gateway/src/router/followFeeds.test.ts
@@ -5,12 +5,12 @@
 import { makeRandom } from '@figmount/decisions'
 
 import { createDirectory } from '../directory/createDirectory.js'
-import { takeFeeds } from './takeFeeds.js'
+import { followFeeds } from './followFeeds.js'
 
 import type { Fault, InstanceName, VirtualTimers } from '@figmount/base'
 import type { FeedPage, FeedRecord, KeyedFeed, ListRead, ServerEntry, StorePort } from '@figmount/fleet'
 import type { Directory } from '../directory/types.js'
-import type { Feeds } from './takeFeeds.js'
+import type { Feeds } from './followFeeds.js'
 
 const STEP_MS = 20
 
@@ -72,8 +72,8 @@
 
   for (let index = 0; index < routerCount; index++) {
     const events = createEventLog({ instance: `r${index}` as InstanceName, role: 'router', timers })
-    const directory = createDirectory({ timers, events, decodeServer, isServiceNamed: () => true, entryTaken: () => {} })
-    const feeds = takeFeeds({
+    const directory = createDirectory({ timers, events, decodeServer, isServiceConfigured: () => true, onEntry: () => {} })
+    const feeds = followFeeds({
       store: store.port,
       timers,
       events,
@@ -81,7 +81,7 @@
       leaveMs: LEAVE_MS,
       deploymentTaken: () => {},
       relay: () => {},
-      tellListRead: read => { timers.after(STEP_MS, () => tellOthers(index, read)) },
+      sendListRead: read => { timers.after(STEP_MS, () => tellOthers(index, read)) },
       random
     })
     routers.push({ directory, feeds })
--- a/packages/gateway/src/router/takeFeeds.ts
+++ b/packages/gateway/src/router/followFeeds.ts
@@ -2,8 +2,8 @@
 
 import { GatewayEvent } from '../events.js'
 import { LIST_AGE_SHARE, LIST_SPREAD_SHARE } from './constants.js'
-import { createListNews } from './createListNews.js'
-import { createReadTurns } from './createReadTurns.js'
+import { createListChanges } from './createListChanges.js'
+import { createReadSchedule } from './createReadSchedule.js'
 
 import type { EventLog, Fault, TimerService } from '@figmount/base'
 import type { Deployment, FeedRead, FeedRecord, ListRead, StorePort } from '@figmount/fleet'
@@ -20,7 +20,7 @@
   /** Passes on what other routers may have missed. */
   readonly relay: (feedName: string, records: readonly FeedRecord[]) => void
   /** Spares other routers a read of the list. */
-  readonly tellListRead: (read: ListRead) => void
+  readonly sendListRead: (read: ListRead) => void
   readonly random: () => number
 }
 
@@ -36,7 +36,7 @@
 }
 
 /** Follows the configuration and the list of servers. */
-export const takeFeeds = (options: Options): Feeds => {
+export const followFeeds = (options: Options): Feeds => {
   const { store, timers, events, directory } = options
   const newest = createNewestDeployment({
     store,
@@ -72,12 +72,12 @@
     regained: outageMs => regained(store.deploymentFeed.name, outageMs)
   })
 
-  const news = createListNews({
+  const listChanges = createListChanges({
     decodeServer: store.decodeServer,
-    isHeard: serverId => directory.find(serverId)?.state !== undefined
+    hasAgentState: serverId => directory.find(serverId)?.state !== undefined
   })
 
-  const turns = createReadTurns({
+  const readSchedule = createReadSchedule({
     timers,
     periodMs: options.leaveMs * LIST_AGE_SHARE,
     spreadMs: options.leaveMs * LIST_SPREAD_SHARE,
@@ -85,12 +85,12 @@
   })
 
   const noteListRead = ({ stretch, isWhole, beganMs }: FeedRead): void => {
-    turns.note(beganMs)
-    const records = news.take(stretch.records)
+    readSchedule.note(beganMs)
+    const records = listChanges.take(stretch.records)
     // Keys that were dropped are missing from a whole read, so it does not spare others theirs.
     if (isWhole) return
     const ageMs = Math.ceil(timers.nowMs() - beganMs)
-    options.tellListRead({ type: 'listRead', ...stretch, records, ageMs, settlingMs: Math.ceil(directory.lapses.settlingMs()) })
+    options.sendListRead({ type: 'listRead', ...stretch, records, ageMs, settlingMs: Math.ceil(directory.missingEntries.settlingMs()) })
   }
 
   const servers = createFeedFollower({
@@ -98,16 +98,16 @@
     timers,
     events,
     waitMs: 0,
-    dueInMs: turns.dueInMs,
+    dueInMs: readSchedule.dueInMs,
     take: directory.takeRecords,
     takeKeys: directory.takeKeys,
     noteRead: noteListRead,
     lost: fault => {
-      directory.lapses.noteOutage()
+      directory.missingEntries.noteOutage()
       lost(fault)
     },
     regained: outageMs => {
-      directory.lapses.noteRegained()
+      directory.missingEntries.noteRegained()
       // Guards against a cut that leaves the read of the configuration waiting on a connection that is dead: it would wait
       // on for seconds, and requests would be handled by an older configuration. A router that hears of no other's reads
       // reads the list itself, which shows the end of the cut; one that hears of them hears of configurations too.
@@ -123,10 +123,10 @@
       if (feedName === store.deploymentFeed.name) deployments.offer(records)
     },
     takeListRead: (read, mayBeOld) => {
-      directory.lapses.noteSettling(read.settlingMs)
+      directory.missingEntries.noteSettling(read.settlingMs)
       if (!servers.offerStretch(read)) return
-      news.take(read.records)
-      if (!mayBeOld) turns.note(timers.nowMs() - read.ageMs)
+      listChanges.take(read.records)
+      if (!mayBeOld) readSchedule.note(timers.nowMs() - read.ageMs)
     },
     stop: () => {
       deployments.stop()
--- a/packages/gateway/src/router/startGateway.ts
+++ b/packages/gateway/src/router/startGateway.ts
@@ -4,27 +4,27 @@
 
 import { createAgentLinks } from '../agents/createAgentLinks.js'
 import { createDemandMeter } from '../demand/createDemandMeter.js'
-import { createUnmetBook } from '../demand/createUnmetBook.js'
+import { createUnmetModels } from '../demand/createUnmetModels.js'
 import { createDirectory } from '../directory/createDirectory.js'
 import { createConnectionPool } from '../forwarding/createConnectionPool.js'
-import { serveReady } from '../ingress/serveReady.js'
+import { serveReadiness } from '../ingress/serveReadiness.js'
 import { startIngress } from '../ingress/startIngress.js'
 import { takeRequest } from '../ingress/takeRequest.js'
 import { createQuotas } from '../limits/createQuotas.js'
 import { createRouterCount } from '../limits/createRouterCount.js'
 import { createColdLoads } from '../placing/createColdLoads.js'
 import { createOccupancyMeter } from '../placing/createOccupancyMeter.js'
-import { createQueueRelief } from '../placing/createQueueRelief.js'
+import { createQueueScaler } from '../placing/createQueueScaler.js'
 import { REPLICA_PERIOD_MS, watchReplicas } from '../placing/watchReplicas.js'
-import { createCrashBook } from '../retries/createCrashBook.js'
-import { createCrashTeller } from '../retries/createCrashTeller.js'
-import { createRepeatBudget } from '../retries/createRepeatBudget.js'
+import { createCrashHistory } from '../retries/createCrashHistory.js'
+import { createCrashNotifier } from '../retries/createCrashNotifier.js'
+import { createRetryBudget } from '../retries/createRetryBudget.js'
 import { createStop } from '../stopping/createStop.js'
 import { drain } from '../stopping/drain.js'
-import { AGENT_PATIENCE_MS, DEMAND_PERIOD_MS, FOLLOW_PERIOD_MS, LEAST_ROUTER_COUNT, LEAVING_PERIOD_MS } from './constants.js'
+import { AGENT_READY_TIMEOUT_MS, DEMAND_PERIOD_MS, FOLLOW_PERIOD_MS, MIN_ROUTER_COUNT, LEAVING_PERIOD_MS } from './constants.js'
 import { createCatchUp } from './createCatchUp.js'
-import { createDemandTeller } from './createDemandTeller.js'
-import { takeFeeds } from './takeFeeds.js'
+import { createDemandReporter } from './createDemandReporter.js'
+import { followFeeds } from './followFeeds.js'
 
 import type { InstanceName, ProcessContext, RunningProcess } from '@figmount/base'
 import type { RetryLimits } from '@figmount/decisions'
@@ -59,7 +59,7 @@
   const startedMs = timers.nowMs()
   const routerStop = createStop(timers, options.stopMs)
   let limitCallers: Ingress['limit'] = () => {}
-  let routerCount = LEAST_ROUTER_COUNT
+  let routerCount = MIN_ROUTER_COUNT
 
   const hasAgent = (entry: ServerEntry): boolean =>
     findEngine(feeds.deployment(), entry.serviceName) !== undefined
@@ -68,10 +68,10 @@
     timers,
     events,
     decodeServer: options.store.decodeServer,
-    isServiceNamed: name => feeds.deployment()?.services.some(service => service.name === name) ?? false,
-    entryTaken: () => { followSoon() }
+    isServiceConfigured: name => feeds.deployment()?.services.some(service => service.name === name) ?? false,
+    onEntry: () => { followSoon() }
   })
-  const crashes = createCrashBook(timers)
+  const crashes = createCrashHistory(timers)
   const coldLoads = createColdLoads(timers, modelName => findModel(feeds.deployment(), modelName)?.coldLoadMs)
   const agents = createAgentLinks({
     agentPort: options.agentPort,
@@ -88,7 +88,7 @@
     handlers: {
       takeState: (address, state) => {
         routerCount = Math.max(routerCount, state.routerCount)
-        limitShares.note(state.routerCount)
+        limitRouterCount.note(state.routerCount)
         coldLoads.takeState(address, state)
         directory.takeState(address, state)
         catchUp.note(address, state.deploymentOffset)
@@ -105,7 +105,7 @@
       }
     }
   })
-  const feeds = takeFeeds({
+  const feeds = followFeeds({
     store: options.store,
     timers,
     events,
@@ -113,7 +113,7 @@
     leaveMs: options.leaveMs,
     deploymentTaken: deployment => { limitCallers(deployment.limits) },
     relay: (feedName, records) => { agents.relay({ type: 'relay', feedName, records }) },
-    tellListRead: agents.relay,
+    sendListRead: agents.relay,
     random: options.random
   })
   const catchUp = createCatchUp({
@@ -121,13 +121,13 @@
     ownOffset: feeds.deploymentOffset,
     ask: address => { agents.find(address)?.send({ type: 'deploymentAsked' }) }
   })
-  const limitShares = createRouterCount(timers)
+  const limitRouterCount = createRouterCount(timers)
   const quotas = createQuotas({
     timers,
     events,
     organisations: () => feeds.deployment()?.organisations,
-    routerCount: limitShares.count,
-    reached: agents.openAddresses,
+    routerCount: limitRouterCount.count,
+    reachableAddresses: agents.openAddresses,
     send: (address, message) => { agents.find(address)?.send(message) }
   })
   const context: GatewayContext = {
@@ -138,13 +138,13 @@
     directory,
     agents,
     demand: createDemandMeter(timers),
-    unmet: createUnmetBook(timers),
+    unmetModels: createUnmetModels(timers),
     pool: createConnectionPool(),
-    budget: createRepeatBudget(options.retryLimits, timers),
+    budget: createRetryBudget(options.retryLimits, timers),
     crashes,
     quotas,
-    crashTeller: createCrashTeller(timers, agents.relay),
-    relief: createQueueRelief(timers),
+    crashNotifier: createCrashNotifier(timers, agents.relay),
+    queueScaler: createQueueScaler(timers),
     coldLoads,
     occupancy: createOccupancyMeter(),
     dataCentre: options.dataCentre,
@@ -164,11 +164,11 @@
   if (known) ingress.limit(known.limits)
   // A router that cannot reach the agents yet would refuse each request for a model that must be loaded first.
   const isReady = (): boolean => {
-    if (routerStop.isAsked() || !feeds.deployment() || !directory.isKnown()) return false
+    if (routerStop.isAsked() || !feeds.deployment() || !directory.hasList()) return false
     const hasAgents = directory.entries().some(hasAgent)
-    return !hasAgents || agents.isReached() || timers.nowMs() - startedMs > AGENT_PATIENCE_MS
+    return !hasAgents || agents.isReady() || timers.nowMs() - startedMs > AGENT_READY_TIMEOUT_MS
   }
-  const closeReady = await serveReady(options.readyAddress, isReady)
+  const closeReady = await serveReadiness(options.readyAddress, isReady)
 
   let isFollowDue = false
   const followSoon = (): void => {
@@ -179,22 +179,22 @@
   const follow = (): void => {
     isFollowDue = false
     agents.follow(directory.entries(), hasAgent)
-    context.pool.keepOnly(directory.starts())
+    context.pool.retainStarts(directory.starts())
   }
-  const teller = createDemandTeller(context.demand, directory, agents)
-  let isLeavingLookDue = false
-  const lookWhileLeaving = (): void => {
-    if (isLeavingLookDue || !directory.hasLeaving()) return
-    isLeavingLookDue = true
+  const demandReporter = createDemandReporter(context.demand, directory, agents)
+  let isLeavingPollDue = false
+  const pollLeaving = (): void => {
+    if (isLeavingPollDue || !directory.hasLeaving()) return
+    isLeavingPollDue = true
     timers.after(LEAVING_PERIOD_MS, () => {
-      isLeavingLookDue = false
-      teller.tellLeaving()
-      lookWhileLeaving()
+      isLeavingPollDue = false
+      demandReporter.reportLeaving()
+      pollLeaving()
     })
   }
   const stops = [
-    directory.onState(lookWhileLeaving),
-    timers.every(DEMAND_PERIOD_MS, teller.tell),
+    directory.onState(pollLeaving),
+    timers.every(DEMAND_PERIOD_MS, demandReporter.report),
     timers.every(FOLLOW_PERIOD_MS, follow),
     timers.every(REPLICA_PERIOD_MS, () => watchReplicas(context)),
     quotas.stop
--- a/packages/gateway/src/stopping/createStop.ts
+++ b/packages/gateway/src/stopping/createStop.ts
@@ -1,4 +1,4 @@
-import { DRAIN_MARGIN_MS, LAME_DUCK_MS, LEAST_ANSWER_MS } from './constants.js'
+import { DRAIN_MARGIN_MS, LAME_DUCK_MS, MIN_ANSWER_MS } from './constants.js'
 
 import type { TimerService, Unsubscribe } from '@figmount/base'
 import type { RouterStop } from './types.js'
@@ -29,10 +29,10 @@
     isAsked,
     isClosing: () => timers.nowMs() >= closingMs(),
     isEnded: () => isEnded,
-    lastSendMs: objectiveMs => endMs() - Math.max(LEAST_ANSWER_MS, objectiveMs),
+    lastSendMs: objectiveMs => endMs() - Math.max(MIN_ANSWER_MS, objectiveMs),
     // Guards against a stream that is left half sent because its server went late in the stop: a request that has run
     // cannot be refused any more, so it is tried elsewhere until the end, which would break it off no worse.
-    lastRepeatMs: endMs,
+    lastRetryMs: endMs,
     onAsked: listener => listen(askedListeners, listener),
     onEnded: listener => listen(endListeners, listener),
     ask: () => {
--- a/packages/gateway/src/stopping/drain.ts
+++ b/packages/gateway/src/stopping/drain.ts
@@ -1,7 +1,7 @@
 import { sleep } from '@figmount/base'
 
 import { GatewayEvent } from '../events.js'
-import { DRAIN_LOOK_MS, LAST_ANSWERS_MS } from './constants.js'
+import { DRAIN_CHECK_PERIOD_MS, LAST_ANSWERS_MS } from './constants.js'
 
 import type { EventLog, TimerService } from '@figmount/base'
 import type { Ingress } from '../ingress/startIngress.js'
@@ -16,10 +16,10 @@
 
 /** Takes no new requests after a while and lets the open ones end; those that don't get their final answer at the stop's end. */
 export const drain = async ({ stop, ingress, timers, events }: Options): Promise<void> => {
-  const emptyWithin = async (waitMs: number): Promise<void> => {
+  const waitUntilEmpty = async (waitMs: number): Promise<void> => {
     const untilMs = timers.nowMs() + waitMs
     while (ingress.openCount() > 0 && timers.nowMs() < untilMs) {
-      await sleep(timers, DRAIN_LOOK_MS)
+      await sleep(timers, DRAIN_CHECK_PERIOD_MS)
       ingress.closeIdle()
     }
   }
@@ -32,10 +32,10 @@
   // on open ones by a refusal; both are free to go elsewhere.
   ingress.stopListening()
   ingress.closeIdle()
-  await emptyWithin(stop.endsInMs())
+  await waitUntilEmpty(stop.endsInMs())
   if (ingress.openCount() > 0) events.emit(GatewayEvent.requestsCutShort, { count: ingress.openCount() })
   stop.end()
-  await emptyWithin(LAST_ANSWERS_MS)
+  await waitUntilEmpty(LAST_ANSWERS_MS)
   if (ingress.openCount() > 0) events.emit(GatewayEvent.requestsUnanswered, { count: ingress.openCount() })
   ingress.close()
 }
--- a/packages/gateway/src/stopping/stopping.test.ts
+++ b/packages/gateway/src/stopping/stopping.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 import { createVirtualTimers } from '@figmount/base'
 
-import { DRAIN_MARGIN_MS, LAME_DUCK_MS, LEAST_ANSWER_MS } from './constants.js'
+import { DRAIN_MARGIN_MS, LAME_DUCK_MS, MIN_ANSWER_MS } from './constants.js'
 import { createStop } from './createStop.js'
 import { limitWait } from './limitWait.js'
 
 const STOP_MS = 8_000
 const OBJECTIVE_MS = 500
-const LAST_SEND_MS = STOP_MS - DRAIN_MARGIN_MS - LEAST_ANSWER_MS
+const LAST_SEND_MS = STOP_MS - DRAIN_MARGIN_MS - MIN_ANSWER_MS
 
 /** A wait for something that is expected after `readyAtMs`; `gaveUpMs` tells when it was given up. */
 const setUp = (readyAtMs: number) => {
@@ -48,14 +48,14 @@
     const stop = createStop(createVirtualTimers(), STOP_MS)
     stop.ask()
     expect(stop.lastSendMs(OBJECTIVE_MS)).to.equal(LAST_SEND_MS)
-    expect(stop.lastSendMs(LEAST_ANSWER_MS + 500)).to.equal(LAST_SEND_MS - 500)
+    expect(stop.lastSendMs(MIN_ANSWER_MS + 500)).to.equal(LAST_SEND_MS - 500)
   })
 
   it('lets what has run go on elsewhere until the end', () => {
     const stop = createStop(createVirtualTimers(), STOP_MS)
-    expect(stop.lastRepeatMs()).to.equal(Infinity)
+    expect(stop.lastRetryMs()).to.equal(Infinity)
     stop.ask()
-    expect(stop.lastRepeatMs()).to.equal(STOP_MS - DRAIN_MARGIN_MS)
+    expect(stop.lastRetryMs()).to.equal(STOP_MS - DRAIN_MARGIN_MS)
   })
 })
 
--- a/packages/gateway/src/stopping/types.ts
+++ b/packages/gateway/src/stopping/types.ts
@@ -8,7 +8,7 @@
   /** Time after which a request with this objective is not sent to a server any more; Infinity while no stop was asked for. */
   readonly lastSendMs: (objectiveMs: number) => number
   /** The same for one that has run already: to give it up early saves its caller nothing. */
-  readonly lastRepeatMs: () => number
+  readonly lastRetryMs: () => number
   /** The end has come: requests that are still open get their final answer. */
   readonly isEnded: () => boolean
   /** Calls back when a stop is asked for. */
--- a/packages/gateway/src/streams/splitEvents.test.ts
+++ b/packages/gateway/src/streams/createEventSplitter.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 
-import { createEventSplitter } from './splitEvents.js'
+import { createEventSplitter } from './createEventSplitter.js'
 
 const event = (id: number): string => `id: ${id}\ndata: piece ${id}\n\n`
 const STREAM = [1, 2, 3].map(event).join('')
--- a/packages/gateway/src/streams/relayEvents.ts
+++ b/packages/gateway/src/streams/relayEvents.ts
@@ -1,9 +1,9 @@
-import { isWhole } from '../forwarding/isWhole.js'
-import { createEventSplitter } from './splitEvents.js'
+import { isComplete } from '../forwarding/isComplete.js'
+import { createEventSplitter } from './createEventSplitter.js'
 
 import type { TimerService } from '@figmount/base'
 import type { OpenAnswer } from '../forwarding/types.js'
-import type { StreamEvent } from './splitEvents.js'
+import type { StreamEvent } from './createEventSplitter.js'
 
 /** How a stream from one server ended. */
 export interface RelayEnd {
@@ -27,7 +27,7 @@
   await new Promise(resolve => {
     const { message, abort } = answer
     const splitter = createEventSplitter()
-    let lastHeardMs = timers.nowMs()
+    let lastDataMs = timers.nowMs()
     let isPaused = false
 
     const finish = (isWhole: boolean, reason: string): void => {
@@ -39,13 +39,13 @@
     // wait until it gives up. Ending the exchange lets a resumable stream go on elsewhere. While the reader takes nothing
     // the server cannot be heard, so this is no silence of its own.
     const stopWatching = timers.every(silenceMs / 4, () => {
-      if (isPaused || timers.nowMs() - lastHeardMs < silenceMs) return
+      if (isPaused || timers.nowMs() - lastDataMs < silenceMs) return
       finish(false, `no event for ${silenceMs} ms`)
       abort()
     })
 
     message.on('data', (chunk: Buffer) => {
-      lastHeardMs = timers.nowMs()
+      lastDataMs = timers.nowMs()
       let keepsUp = true
       for (const event of splitter.push(chunk)) keepsUp = take(event) && keepsUp
       if (keepsUp) return
@@ -53,12 +53,12 @@
       message.pause()
       onceDrained(() => {
         isPaused = false
-        lastHeardMs = timers.nowMs()
+        lastDataMs = timers.nowMs()
         message.resume()
       })
     })
     message.on('end', () => {
-      const hasEnded = isWhole(message) && splitter.rest().length === 0
+      const hasEnded = isComplete(message) && splitter.rest().length === 0
       finish(hasEnded, hasEnded ? 'ended' : 'broke off')
     })
     message.on('error', error => finish(false, error.message))
