--- a/packages/gateway/src/requests/awaitAdapter.ts
+++ b/packages/gateway/src/requests/awaitAdapter.ts
@@ -12,13 +12,13 @@
 /** How the wait for an adapter ended. */
 export type AdapterWait =
   | { readonly type: 'there' }
-  /** It did not come: another engine may have it sooner. */
+  /** The adapter was not loaded: another engine may have it sooner. */
   | { readonly type: 'missed' }
   | RefusedWait
 
 /**
- * Has an adapter put in place beside its model. An engine fetches one in milliseconds, but takes no order while it loads
- * a model: a request that this leaves no time hears at once when the load ends, and its adapter is fetched first then.
+ * Requests an adapter from the agent of an engine that holds its model. An engine fetches an adapter in milliseconds but accepts no order
+ * while it loads a model. A request that cannot wait for the end of that load is refused at once; its adapter is then the first to be fetched.
  */
 export const awaitAdapter = async (
   context: GatewayContext, request: RoutedRequest, server: KnownServer, expectedMs: number, bounds: WaitBounds
--- a/packages/gateway/src/requests/awaitModel.ts
+++ b/packages/gateway/src/requests/awaitModel.ts
@@ -15,13 +15,13 @@
 
 /** How the wait for a model ended. */
 export type ModelWait =
-  /** An engine holds it, or another one will sooner: the request chooses anew. */
+  /** An engine holds it, or another one will sooner: the request chooses a server again. */
   | { readonly type: 'changed' }
-  /** The engine that was asked went away: another one may be asked. */
+  /** The engine or agent that was asked to load it went down: another one may be asked. */
   | { readonly type: 'lost', readonly reason: string, readonly retryAfterMs: number }
   | RefusedWait
 
-/** The router stops: the caller comes back when a load that has begun ends, and at once to have any other one begun by another router. */
+/** Ends a wait at a stopping router. The caller returns when a load in progress ends, or at once so that another router starts the load. */
 const endWaitAtStop = (context: GatewayContext, { server }: Loader, modelName: string, readyAtMs: number): ModelWait => {
   const state = context.directory.find(server.entry.serverId)?.state
   const hasBegun = state?.loadingModel === modelName && state.loadingForMs > 0
@@ -30,8 +30,8 @@
 }
 
 /**
- * Has a model loaded that no engine holds, and waits for it. A request that the load would leave no time, or whose
- * caller would leave before its first event, is not kept waiting: it hears at once when the model will be there, and the load is begun for its return.
+ * Has a model loaded that no engine holds, and waits for it. A request that would time out before the load ends, or whose caller
+ * would leave before the first event, is refused at once with the time of the load's end; the load starts for its next attempt.
  */
 export const awaitModel = async (
   context: GatewayContext, request: RoutedRequest, servers: readonly KnownServer[], bounds: WaitBounds
--- a/packages/gateway/src/requests/awaitWant.ts
+++ b/packages/gateway/src/requests/awaitWant.ts
@@ -1,22 +1,22 @@
 import type { OpenWant, WantOutcome } from '../agents/types.js'
 import type { RoutedRequest } from './types.js'
 
-/** How a wait ended without what was waited for; it may be there after `retryAfterMs`. */
+/** A wait that ended in a refusal; a retry may succeed after `retryAfterMs`. */
 export interface RefusedWait {
   readonly type: 'late'
   readonly reason: string
   readonly retryAfterMs: number
 }
 
-/** What bounds a request's waits. */
+/** The limits of a request's waits. */
 export interface WaitBounds {
-  /** Time after which a stopping router does not send it any more; Infinity while no stop was asked for. */
+  /** Time after which a stopping router no longer sends the request; Infinity until a stop is requested. */
   readonly lastSendMs: () => number
-  /** Time at which its caller gives up unless an event comes. */
+  /** Time at which the caller gives up unless an event arrives. */
   readonly callerLeavesMs: () => number
 }
 
-/** Waits for a want's end, and takes it back when the caller leaves. */
+/** Waits for the outcome of a want, and withdraws it when the caller leaves. */
 export const awaitWant = async (request: RoutedRequest, want: OpenWant): Promise<WantOutcome> => {
   const leave = (): void => want.drop('the caller left')
   request.callerLeft.addEventListener('abort', leave, { once: true })
--- a/packages/gateway/src/requests/chooseServer.ts
+++ b/packages/gateway/src/requests/chooseServer.ts
@@ -5,18 +5,18 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** The server that has a request's first event soonest. */
+/** The server with the shortest expected time to a request's first event. */
 export interface ServerChoice {
   readonly server: KnownServer
-  /** Time until the request's adapter is in place; 0 when it is. */
+  /** Time until the request's adapter is loaded; 0 if it is loaded already. */
   readonly adapterWaitMs: number
-  /** Prompt tokens that the server has to compute. */
+  /** Prompt tokens that are not in the server's cache. */
   readonly newTokens: number
-  /** Time until the engine has a place for the request. */
+  /** Time until the engine has a free slot for the request. */
   readonly slotWaitMs: number
 }
 
-/** Chooses among the servers that hold the request's model; undefined when none does. */
+/** Chooses among the servers that hold the request's model; undefined if none does. */
 export const chooseServer = (context: GatewayContext, request: RoutedRequest, servers: readonly KnownServer[]): ServerChoice | undefined => {
   const views = viewHolders(context.directory, request, servers, context.timers.nowMs())
   const { promptTokens } = request.caller
--- a/packages/gateway/src/requests/createCallerStream.test.ts
+++ b/packages/gateway/src/requests/createCallerStream.test.ts
@@ -34,7 +34,7 @@
 }
 
 describe('a caller\'s stream', () => {
-  it('sends no head before the first event, so that a failure can still be told', () => {
+  it('sends no head before the first event, so that a failure can still get its own status', () => {
     const { stream, written, take } = setUp()
     stream.open(200, [], true)
     expect(written).to.deep.equal([])
@@ -42,8 +42,8 @@
     expect(written).to.deep.equal(['head 200', 'e1'])
   })
 
-  it('gives each event once where two runs are joined', () => {
-    // The first engine dies after event 2. The second one begins a little before: the caller must not see 2 twice.
+  it('forwards each event once when a second run continues the first', () => {
+    // The first engine dies after event 2. The second run starts with event 2 again, which the caller must not get twice.
     const { stream, written, take } = setUp()
     stream.open(200, [], true)
     take(1)
@@ -53,7 +53,7 @@
     expect(written).to.deep.equal(['head 200', 'e1', 'e2', 'e3', 'e4'])
   })
 
-  it('passes nothing on behind a missing event', () => {
+  it('forwards nothing after a missing event', () => {
     const { stream, written, take } = setUp()
     stream.open(200, [], true)
     take(1)
@@ -62,14 +62,14 @@
     expect(written).to.deep.equal(['head 200', 'e1'])
   })
 
-  it('goes on where a caller left off', () => {
+  it('resumes after the last event that the caller has', () => {
     const { stream, written, take } = setUp('7')
     stream.open(200, [], true)
     for (const id of [7, 8]) take(id)
     expect(written).to.deep.equal(['head 200', 'e8'])
   })
 
-  it('ends with its connection where the server\'s answer does', () => {
+  it('closes the caller\'s connection when the server\'s answer is delimited by its connection\'s end', () => {
     const { stream, response, take } = setUp()
     stream.open(200, [], false)
     take(1)
--- a/packages/gateway/src/requests/createCallerStream.ts
+++ b/packages/gateway/src/requests/createCallerStream.ts
@@ -4,20 +4,20 @@
 import type { StreamEvent } from '../streams/createEventSplitter.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** What a caller has of its stream, over all runs. */
+/** A caller's side of a stream, over all runs of its request. */
 export interface CallerStream {
-  /** Keeps the head of the first run; the caller gets it with the first event. */
+  /** Stores the head of the first run; it is sent to the caller with the first event. */
   readonly open: (status: number, headers: RawHeaders, isFramed: boolean) => void
-  /** Passes an event on unless the caller has it; true while the caller keeps up. */
+  /** Forwards an event unless the caller has it already; returns false when the caller reads too slowly. */
   readonly take: (event: StreamEvent) => boolean
   readonly onceDrained: (resume: () => void) => void
   readonly finish: (peer: string) => void
   readonly hasBegun: () => boolean
-  /** Event after which another run goes on; empty before the first one. */
+  /** Id of the event after which another run continues; empty before the first event. */
   readonly lastEventId: () => string
-  /** When the newest event came; the request's arrival before the first one. */
+  /** Arrival time of the newest event; before the first one, that of the request. */
   readonly lastEventMs: () => number
-  /** An event was left out by the server: the stream can't be made whole. */
+  /** The server skipped an event: the stream cannot be completed. */
   readonly hasGap: () => boolean
 }
 
@@ -27,7 +27,7 @@
   return nextNumber > lastNumber
 }
 
-/** Makes the caller's side of one stream. */
+/** Creates the caller's side of one stream. */
 export const createCallerStream = (context: GatewayContext, request: RoutedRequest): CallerStream => {
   const { response } = request
   let head: { readonly status: number, readonly headers: RawHeaders, readonly isFramed: boolean } | undefined
@@ -46,8 +46,8 @@
     context.metrics.observeMs('first_event_ms', firstEventMs)
   }
 
-  // Guards against a piece that comes twice or is missing where two runs are joined: ids grow by one, so the caller
-  // gets each once and a jump shows.
+  // Guards against events that are duplicated or missing where one run continues another. Ids increase by one, so the caller gets
+  // each event once and a gap is detected.
   const acceptEvent = (event: StreamEvent): boolean => {
     if (event.eventId === '') return true
     if (lastEventId !== '' && !isSuccessor(lastEventId, event.eventId)) return false
--- a/packages/gateway/src/requests/endRequest.ts
+++ b/packages/gateway/src/requests/endRequest.ts
@@ -4,7 +4,7 @@
 import type { RawHeaders } from '@figmount/fleet'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** HTTP status of an ending of figmount's own. */
+/** HTTP statuses of answers that the router itself gives. */
 export const Status = {
   BadRequest: 400,
   Unauthorized: 401,
@@ -22,7 +22,7 @@
 const elapsedMs = (context: GatewayContext, request: RoutedRequest): number =>
   Math.round(context.timers.nowMs() - request.arrivedMs)
 
-/** Refuses a request that has not run and never will, and tells when to come back. Its units are free for another one. */
+/** Refuses a request that has not run and will not, with a retry-after. Its units are returned to the organisation's quota. */
 export const refuse = (context: GatewayContext, request: RoutedRequest, reason: string, retryAfterMs: number): void => {
   if (request.organisation) context.quotas.refund(request.organisation, request.units)
   context.metrics.count('requests_refused_total')
@@ -34,7 +34,7 @@
   request.response.end()
 }
 
-/** Ends a request that may have run. After the answer's head went out, only breaking off shows that it is not whole. */
+/** Fails a request that may have run. Once the answer's head was sent, only closing the connection marks the answer as incomplete. */
 export const fail = (context: GatewayContext, request: RoutedRequest, reason: string, peer: string): void => {
   const isLate = context.timers.nowMs() >= request.untilMs
   context.metrics.count('requests_failed_total')
@@ -48,11 +48,10 @@
 }
 
 /**
- * Has the answer end with its connection, as the server's did.
+ * Delimits the answer by the end of its connection, as the server did.
  *
- * Guards against an answer without a length that broke off: a connection that is closed after half of it looks like one
- * that was closed after the whole. With a length of figmount's own the half would look complete for certain; passed on as
- * it came, the caller knows as much as figmount does.
+ * Guards against a truncated answer without a length that is passed on as a complete one: a connection closed halfway looks like one
+ * closed after the whole body. A length added by the router would make the truncated body look complete for certain.
  */
 export const delimitByClose = ({ response }: RoutedRequest): void => {
   response.shouldKeepAlive = false
@@ -60,17 +59,17 @@
 }
 
 /**
- * Ends an answer once the system has taken its bytes.
+ * Ends an answer once its bytes are written to the socket.
  *
- * Guards against a caller that reads slowly: Node takes a connection for idle as soon as its answer is ended, and a
- * router that stops would close it with the rest unsent.
+ * Guards against truncated answers to callers that read slowly: Node considers a connection idle as soon as its answer is ended, so a
+ * stopping router would close it with the rest unsent.
  */
 export const endAfterDrain = (response: ServerResponse): void => {
   if (response.writableNeedDrain) response.once('drain', () => response.end())
   else response.end()
 }
 
-/** Gives the caller a server's answer that was read whole. */
+/** Sends the caller a server's answer that was read completely. */
 export const sendAnswer = (
   context: GatewayContext, request: RoutedRequest, status: number, headers: RawHeaders, body: Buffer, peer: string, isFramed: boolean
 ): void => {
@@ -82,7 +81,7 @@
   endAfterDrain(request.response)
 }
 
-/** Logs and counts an answer that was given whole; `firstEventMs` is the time from arrival to a stream's first event. */
+/** Logs and counts a complete answer; `firstEventMs` is the time from the request's arrival to a stream's first event. */
 export const noteAnswered = (context: GatewayContext, request: RoutedRequest, peer: string, status: number, firstEventMs?: number): void => {
   const tookMs = context.timers.nowMs() - request.arrivedMs
   context.metrics.count('requests_answered_total')
--- a/packages/gateway/src/requests/limitExchange.ts
+++ b/packages/gateway/src/requests/limitExchange.ts
@@ -1,19 +1,19 @@
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** The bounds of one exchange with a server. */
+/** The time limit of one exchange with a server. */
 export interface ExchangeLimit {
   /** Aborts when the exchange must end. */
   readonly signal: AbortSignal
-  /** Ends the exchange at once. */
+  /** Aborts the exchange at once. */
   readonly cut: () => void
   readonly release: () => void
 }
 
 /**
- * Bounds an exchange: it ends when the caller leaves, `graceMs` after the request's time, and at the end of the router's stop.
+ * Aborts an exchange when the caller leaves, `graceMs` after the request's deadline, and at the end of the router's stop.
  *
- * Guards against a server that falls silent, before its answer or in the middle of it: its caller would wait until it
- * leaves, or lose its connection without an answer when the router stops.
+ * Guards against a server that stops sending, before its answer or in the middle of it: the caller would wait until it times out, or
+ * lose its connection without an answer when the router stops.
  */
 export const limitExchange = (context: GatewayContext, request: RoutedRequest, graceMs: number): ExchangeLimit => {
   const aborting = new AbortController()
--- a/packages/gateway/src/requests/openExchange.ts
+++ b/packages/gateway/src/requests/openExchange.ts
@@ -7,7 +7,7 @@
 import type { OpenAnswer, SendFault } from '../forwarding/types.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** Sends a request to one server with the time that is left, and logs it. */
+/** Sends a request to one server with the time left until its deadline, and logs it. */
 export const openExchange = async (
   context: GatewayContext, request: RoutedRequest, server: KnownServer, lastEventId: string, signal: AbortSignal
 ): Promise<Either<SendFault, OpenAnswer>> => {
@@ -36,6 +36,6 @@
   }, signal)
 }
 
-/** The answer belongs to another request: a late one on a kept connection, or a stranger's. */
+/** The answer belongs to another request: a late one on a reused connection, or one from another program's server. */
 export const isMismatchedAnswer = (request: RoutedRequest, open: OpenAnswer): boolean =>
   open.answer.requestId !== '' && open.answer.requestId !== request.caller.requestId
--- a/packages/gateway/src/requests/runOnServer.ts
+++ b/packages/gateway/src/requests/runOnServer.ts
@@ -9,14 +9,14 @@
 import type { CallerStream } from './createCallerStream.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** Runs the request at the chosen server and keeps the router's books on it. */
+/** Runs the request on the chosen server and updates the router's counts, prefix index and failure rate for that server. */
 export const runOnServer = async (context: GatewayContext, request: RoutedRequest, choice: ServerChoice, stream: CallerStream): Promise<RunEnd> => {
   const { directory } = context
   const { start } = choice.server
   const { modelName, adapterName, promptParts } = request.caller
   const limit = limitExchange(context, request, 0)
-  // Guards against an engine that dies without closing its connections: a stream that may go on elsewhere would be silent
-  // until its caller leaves, though the agent beside the engine has told of its death.
+  // Guards against an engine that dies without closing its connections: a stream that could be resumed elsewhere would send nothing
+  // until its caller leaves, although the engine's agent has reported the death.
   const stopDeathChecks = request.route.isResumable
     ? context.timers.every(DEATH_CHECK_PERIOD_MS, () => { if (directory.isDead(start)) limit.cut() })
     : () => {}
--- a/packages/gateway/src/requests/runStream.ts
+++ b/packages/gateway/src/requests/runStream.ts
@@ -11,11 +11,11 @@
 
 /** How one run of a stream ended. */
 export type RunEnd =
-  /** The stream has come to its end; the caller's is still open. */
+  /** The server has sent the whole stream; the caller's answer is not ended yet. */
   | { readonly type: 'finished' }
-  /** The caller has another answer of the server's, which was read whole. */
+  /** The caller got a complete answer of the server that is not a stream. */
   | { readonly type: 'answered' }
-  /** The server states that it has not run the request, or nothing was sent. */
+  /** The server reports that it has not run the request, or nothing was sent. */
   | { readonly type: 'notRun', readonly reason: string, readonly isMisdirected: boolean }
   | { readonly type: 'broken', readonly reason: string }
 
@@ -38,7 +38,7 @@
   return end.isWhole ? { type: 'finished' } : { type: 'broken', reason: end.reason }
 }
 
-/** Runs a stream at one server and passes its events on. */
+/** Runs a stream on one server and forwards its events. */
 export const runStream = async (
   context: GatewayContext, request: RoutedRequest, server: KnownServer, stream: CallerStream, signal: AbortSignal, firstEvent: () => void
 ): Promise<RunEnd> => {
--- a/packages/gateway/src/requests/serveModel.test.ts
+++ b/packages/gateway/src/requests/serveModel.test.ts
@@ -29,7 +29,7 @@
 const entryOf = (serverId: string): ServerEntry =>
   ({ serverId, startedAtUnixMs: undefined, serviceName: 's', address: `${serverId}:1`, dataCentre: 'east', slots: 1, isDraining: false, models: [] })
 
-/** A router with two engines that have the model on disk; `answer` says what becomes of each want, undefined for nothing yet. */
+/** A router with two engines that have the model on disk; `answer` gives the outcome of each want, or undefined if it stays open. */
 const setUp = (answer: (address: string) => WantOutcome | undefined) => {
   const timers = createVirtualTimers()
   const events = createEventLog({ instance: 'r' as InstanceName, role: 'router', timers })
@@ -93,9 +93,9 @@
   return { timers, stop, directory, context, request, asked, dropped, statuses, retriesMs }
 }
 
-describe('serving a model that no engine holds', () => {
-  it('asks another engine when the first one dies in the load', async () => {
-    // Guards against a refusal though another engine has time to load the model.
+describe('serving a request whose model no engine holds', () => {
+  it('asks another engine when the first one dies during the load', async () => {
+    // Guards against a refusal while another engine still has time to load the model.
     const { directory, context, request, asked } = setUp(address => {
       directory.takeState(address, makeAgentState(address.charAt(0), { isUp: false }))
       return { isReady: false, isLost: true, reason: 'engine is down' }
@@ -104,15 +104,15 @@
     expect(asked).to.have.members(['a:1', 'b:1'])
   })
 
-  it('refuses after a few engines that went away', async () => {
+  it('refuses the request after a few engines went down', async () => {
     const { context, request, asked, statuses } = setUp(() => ({ isReady: false, isLost: true, reason: 'the agent does not answer' }))
     await serveModel(context, request)
     expect(asked).to.have.length(MAX_LOST_LOADS + 1)
     expect(statuses).to.deep.equal([503])
   })
 
-  it('goes where the model comes sooner', async () => {
-    // Guards against two loads of one model by routers that chose apart.
+  it('moves to an engine that has started to load the model', async () => {
+    // Guards against one model being loaded twice by routers that chose different engines.
     const { directory, context, request, asked, dropped } = setUp(address => {
       if (asked.length > 1) return { isReady: false, isLost: false, reason: 'not in time' }
       const other = address === 'a:1' ? 'b' : 'a'
@@ -126,8 +126,8 @@
     expect(dropped[0]).to.equal(asked[0])
   })
 
-  it('moves to an engine that has the model sooner', async () => {
-    // Guards against a wait at a busy engine while another one is idle.
+  it('moves to an engine that will have the model sooner', async () => {
+    // Guards against waiting for a busy engine while another one is idle.
     const { timers, directory, context, request, asked, dropped } = setUp(() =>
       asked.length > 1 ? { isReady: false, isLost: false, reason: 'not in time' } : undefined)
     const behind = { onDisk: ['m'], loadingModel: 'x', loadingForMs: 5, loadingLeftMs: 3_000, queuedModels: ['m'] }
@@ -142,8 +142,8 @@
     expect(dropped).to.deep.equal(['a:1'])
   })
 
-  it('waits at engines where only other models wait for the weight store', async () => {
-    // Guards against a come-back time of seconds for a load of a tenth of one.
+  it('waits at engines where only other models are queued for the weight store', async () => {
+    // Guards against a retry-after of seconds for a load that takes a tenth of a second.
     const { directory, context, request, asked, statuses } = setUp(() => undefined)
     for (const serverId of ['a', 'b']) {
       directory.takeState(`${serverId}:1`, makeAgentState(serverId, { onDisk: ['m'], coldWaitMs: 1_600, queuedModels: ['n'] }))
@@ -154,15 +154,15 @@
     expect(statuses).to.deep.equal([])
   })
 
-  it('refuses at once what did not come in time', async () => {
+  it('refuses at once when the model is not loaded in time', async () => {
     const { context, request, asked, statuses } = setUp(() => ({ isReady: false, isLost: false, reason: 'not in time' }))
     await serveModel(context, request)
     expect(asked).to.have.length(1)
     expect(statuses).to.deep.equal([503])
   })
 
-  it('refuses at once what waits for an adapter behind a long load', async () => {
-    // Guards against callers who are kept and refused while an engine loads.
+  it('refuses at once when the adapter would have to wait for a long load', async () => {
+    // Guards against callers that are kept waiting while an engine loads, only to be refused.
     const { directory, context, request, asked, statuses, retriesMs } = setUp(() => undefined)
     const held = { models: [{ name: 'm', adapters: [] }], loadingModel: 'other', loadingForMs: 5, loadingLeftMs: 6_000 }
     directory.takeState('a:1', makeAgentState('a', held))
@@ -174,7 +174,7 @@
   })
 
   it('refuses a waiting request as soon as a stop leaves it no time', async () => {
-    // Guards against a connection that a stop closes without an answer.
+    // Guards against a stop that closes the connection without an answer.
     const { stop, directory, context, request, statuses, retriesMs, dropped } = setUp(() => {
       setImmediate(() => { stop.ask() })
       return undefined
@@ -188,7 +188,7 @@
     expect(dropped).to.deep.equal(['a:1'])
   })
 
-  it('asks for nothing that comes after a stop', async () => {
+  it('requests no load that would end after the stop', async () => {
     const { stop, context, request, asked, statuses } = setUp(() => undefined)
     stop.ask()
     await serveModel(context, { ...request, route: { ...request.route, objectiveMs: STOP_MS } })
@@ -196,7 +196,7 @@
     expect(asked).to.deep.equal([])
   })
 
-  it('refuses at once what the engines that hold the model are too full for, but never the most urgent', async () => {
+  it('sheds requests when the engines that hold the model are full, but never those with the top priority', async () => {
     const { directory, context, request, statuses, retriesMs } = setUp(() => undefined)
     const route = (priority: number): RoutedRequest['route'] =>
       ({ ...request.route, priority, kind: 'stream', shares: [{ serviceName: 's', weight: 1 }] })
--- a/packages/gateway/src/requests/serveModel.ts
+++ b/packages/gateway/src/requests/serveModel.ts
@@ -15,14 +15,14 @@
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /**
- * Serves a request to a model: at an engine that holds it, or after having it loaded. A stream that breaks off goes on
- * at another engine where its route allows that; otherwise it is run once.
+ * Serves a request to a model on an engine that holds it, or after having it loaded. An interrupted stream is resumed on another
+ * engine if its route allows that; otherwise a request is run once.
  */
 export const serveModel = async (context: GatewayContext, request: RoutedRequest): Promise<void> => {
   const { directory, timers, budget, stop } = context
   const { caller, route, serviceName } = request
   const stream = createCallerStream(context, request)
-  // By start: a server that has restarted under its id is as good as another one.
+  // Keyed by start: a server that has restarted under the same id is a different server here.
   const excludedStarts = new Set<string>()
   let runCount = 0
   let sendCount = 0
@@ -54,7 +54,7 @@
     const choice = chooseServer(context, request, servers)
     if (!choice) {
       const wait = await awaitModel(context, request, servers, bounds)
-      // An engine that dies in the middle of a load has lost its waiting callers nothing but time: another one is asked.
+      // An engine that dies during a load has cost its waiting callers only time: another engine is asked.
       if (wait.type === 'changed') continue
       lostLoadCount += Number(wait.type === 'lost')
       if (wait.type === 'lost' && lostLoadCount <= MAX_LOST_LOADS) continue
@@ -83,7 +83,7 @@
     const end = await runOnServer(context, request, choice, stream)
     if (end.type === 'answered') return
     if (end.type === 'finished') return stream.finish(serverId)
-    // A run that was cut says nothing about the server by itself.
+    // A run that the router aborted says nothing about the server.
     const wasAborted = request.callerLeft.aborted || timers.nowMs() >= request.untilMs || stop.isEnded()
     if (end.type === 'broken') watchCrash(context, request, choice.server, wasAborted)
     if (request.callerLeft.aborted) return noteCallerLeft(context, request)
--- a/packages/gateway/src/requests/servePlain.test.ts
+++ b/packages/gateway/src/requests/servePlain.test.ts
@@ -11,8 +11,8 @@
 const STOP_MS = 8_000
 
 describe('serving a plain request', () => {
-  it('sends callers of a router that stops elsewhere at once', async () => {
-    // Guards against a long come-back time at a stop, while other routers have time.
+  it('sends callers to another router at once when the router stops', async () => {
+    // Guards against a long retry-after from a stopping router while other routers are free.
     const timers = createVirtualTimers()
     const retriesMs: number[] = []
     const stop = createStop(timers, STOP_MS)
--- a/packages/gateway/src/requests/servePlain.ts
+++ b/packages/gateway/src/requests/servePlain.ts
@@ -12,13 +12,13 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** How one try at one server ended. */
+/** How one attempt on one server ended. */
 type AttemptEnd =
   | { readonly type: 'answered' }
   | { readonly type: 'notRun', readonly reason: string }
   | { readonly type: 'notSent', readonly reason: string }
   | { readonly type: 'unknown', readonly reason: string }
-  /** A whole answer that says the server failed. */
+  /** A complete answer with a server error. */
   | { readonly type: 'failed', readonly status: number, readonly deliver: () => void }
 
 const FIRST_SERVER_ERROR = 500
@@ -28,7 +28,7 @@
   const { directory } = context
   const servers = directory.serving(request.serviceName).filter(server => !triedStarts.has(startKeyOf(server.start)))
   const offset = Math.floor(context.random() * servers.length)
-  // Equal servers are taken in a random order, so that routers don't all begin with the same one.
+  // Equal servers are ordered at random, so that routers do not all start with the same one.
   const shuffled = [...servers.slice(offset), ...servers.slice(0, offset)]
   const views = shuffled.map(server => ({
     serverId: server.entry.serverId,
@@ -72,9 +72,8 @@
 }
 
 /**
- * Serves a request to a plain service. One that may run once goes to another server only if the one before states
- * that it has not run; one that is idempotent also after a failure, within the route's attempts and the repeats that
- * all routers share.
+ * Serves a request to a plain service. An at-most-once request goes to another server only if the previous one reports that it has not
+ * run it. An idempotent one is also retried after a failure, within the route's attempts and the retry budget that all routers share.
  */
 export const servePlain = async (context: GatewayContext, request: RoutedRequest): Promise<void> => {
   const { directory, budget, timers, stop } = context
--- a/packages/gateway/src/requests/shouldShed.ts
+++ b/packages/gateway/src/requests/shouldShed.ts
@@ -3,7 +3,7 @@
 
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** An engine takes in more urgent requests first: those that wait for a place do not keep the most urgent ones waiting. */
+/** Engines admit requests of a higher priority first, so queued ones do not delay those of the top priority. */
 const hasTopPriority = (context: GatewayContext, { organisation, priority, serviceName }: RoutedRequest): boolean => {
   const { organisations, routes = [] } = context.deployment() ?? {}
   if (organisation?.priority !== undefined) return !organisations?.all.some(other => other.priority !== undefined && other.priority < priority)
@@ -14,6 +14,6 @@
   return true
 }
 
-/** Whether the wait for a place at the best engine leaves a request no time before its caller leaves. */
+/** Whether the wait for a slot on the best engine would outlast the caller's patience. */
 export const shouldShed = (context: GatewayContext, request: RoutedRequest, slotWaitMs: number, leftMs: number): boolean =>
   planWait({ readyInMs: slotWaitMs, leftMs }).isHopeless && !hasTopPriority(context, request)
--- a/packages/gateway/src/requests/types.ts
+++ b/packages/gateway/src/requests/types.ts
@@ -15,7 +15,7 @@
 import type { CrashHistory } from '../retries/createCrashHistory.js'
 import type { Stop } from '../stopping/types.js'
 
-/** What serving a request needs of its router. */
+/** The parts of a router that serving a request depends on. */
 export interface GatewayContext {
   readonly timers: TimerService
   readonly events: EventLog
@@ -35,33 +35,33 @@
   readonly occupancy: OccupancyMeter
   readonly dataCentre: string
   readonly deployment: () => Deployment | undefined
-  /** The most routers seen so far. */
+  /** The highest number of routers seen so far. */
   readonly routerCount: () => number
   readonly stop: Stop
   readonly random: () => number
 }
 
-/** A request that was read whole and whose route is known. */
+/** A request that was read completely and has a route. */
 export interface RoutedRequest {
   readonly caller: CallerRequest
   readonly route: Route
   readonly serviceName: string
-  /** Undefined where no key is asked for. */
+  /** Undefined if the route requires no key. */
   readonly organisation: Organisation | undefined
-  /** What the request counts against its organisation's limit. */
+  /** Units that the request takes from its organisation's quota. */
   readonly units: number
-  /** Rank of the request, 0 the most urgent. */
+  /** Priority of the request; 0 is the most urgent. */
   readonly priority: number
   readonly method: string
   readonly url: string
   readonly headers: RawHeaders
   readonly body: Buffer
   readonly arrivedMs: number
-  /** Time by which the caller has its final answer. */
+  /** Time of the request's deadline. */
   readonly untilMs: number
   readonly response: ServerResponse
   /** Aborts when the caller leaves. */
   readonly callerLeft: AbortSignal
-  /** Hash of what a caller sends again after a crash. */
+  /** Hash by which a request is recognised when its caller resends it after a crash. */
   readonly requestHash: string
 }
--- a/packages/gateway/src/requests/watchCrash.test.ts
+++ b/packages/gateway/src/requests/watchCrash.test.ts
@@ -16,10 +16,10 @@
 const ENTRY: ServerEntry =
   { serverId: 'a', startedAtUnixMs: undefined, serviceName: 's', address: ADDRESS, dataCentre: 'east', slots: 1, isDraining: false, models: [] }
 
-/** What an agent tells of once its engine has died. */
+/** An agent's report after its engine's death. */
 const DEAD = makeAgentState('', { isUp: false, goneStarts: [{ serverId: 'a', startedAtUnixMs: undefined }] })
 
-/** A router that knows one engine, at which a request runs. */
+/** A router that knows one engine, on which a request runs. */
 const setUpRun = () => {
   let listed = ENTRY
   const timers = createVirtualTimers()
@@ -37,21 +37,21 @@
   const crashes = createCrashHistory(timers)
   const context = { timers, directory, crashes, crashNotifier: createCrashNotifier(timers, ({ type }) => { relayed.push(type) }) } as unknown as GatewayContext
   const server = directory.find('a')
-  if (!server) throw new Error('the engine is known')
+  if (!server) throw new Error('engine a is missing from the directory')
   const breakOff = (wasCut = false): void => { watchCrash(context, { requestHash: 'h' } as unknown as RoutedRequest, server, wasCut) }
   return { timers, directory, crashes, relayed, list, unlist, tellDeath, breakOff }
 }
 
-/** The same, and the run has just broken off. */
+/** The same after the run was interrupted. */
 const setUp = () => {
   const run = setUpRun()
   run.breakOff()
   return run
 }
 
-describe('crash of an engine under a request', () => {
-  it('is not counted where its agent says that it lives', () => {
-    // Guards against callers refused as deadly whose engines only lost answers.
+describe('crash of an engine during a request', () => {
+  it('is not counted if the agent reports that the engine is alive', () => {
+    // Guards against refusing requests as the cause of crashes when their engines only lost answers.
     const { timers, directory, crashes, relayed } = setUp()
     timers.advance(1_400)
     directory.takeState(ADDRESS, makeAgentState('a'))
@@ -60,7 +60,7 @@
     expect(relayed).to.deep.equal([])
   })
 
-  it('is counted as soon as its agent tells of its death', () => {
+  it('is counted as soon as the agent reports the engine\'s death', () => {
     const { timers, directory, crashes, relayed } = setUp()
     timers.advance(250)
     directory.takeState(ADDRESS, makeAgentState('a', { isUp: false }))
@@ -71,8 +71,8 @@
     expect(relayed).to.have.length(1)
   })
 
-  it('is counted where nobody says that it lives', () => {
-    // An instance dies with its engine and its agent. A request that crashes instances must not go on to the next.
+  it('is counted if no agent reports that the engine is alive', () => {
+    // An instance may die with its engine and its agent. A request that crashes instances must not be sent to the next one.
     const { timers, crashes } = setUp()
     timers.advance(300)
     expect(crashes.crashCount('h')).to.equal(0)
@@ -80,8 +80,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where the list loses the engine before its agent tells of the death', () => {
-    // Guards against a deadly request that kills a third engine: without an entry the engine was taken for alive.
+  it('is counted if the engine disappears from the list before its agent reports the death', () => {
+    // Guards against a request that kills a third engine: an engine without a list entry was considered alive.
     const { timers, crashes, unlist, tellDeath } = setUp()
     timers.advance(113)
     unlist()
@@ -91,8 +91,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where the list loses the engine before the run breaks off', () => {
-    // Guards against the same where a busy router reads the list before it sees that the stream has ended.
+  it('is counted if the engine disappears from the list before the run is interrupted', () => {
+    // Guards against the same fault when a busy router reads the list before it sees the end of the stream.
     const { timers, crashes, unlist, tellDeath, breakOff } = setUpRun()
     unlist()
     timers.advance(113)
@@ -102,8 +102,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where its agent and the list tell of the death between two looks', () => {
-    // Guards against the same where agent and list come within one period of the looks.
+  it('is counted if the agent\'s report and the list change between two checks', () => {
+    // Guards against the same fault when both arrive within one check period.
     const { timers, crashes, unlist, tellDeath } = setUp()
     timers.advance(110)
     tellDeath()
@@ -115,7 +115,7 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where another engine has its address by then', () => {
+  it('is counted if another engine has taken over the address', () => {
     const { timers, directory, crashes, unlist } = setUp()
     timers.advance(50)
     unlist()
@@ -124,7 +124,7 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where agent and engine die together and the list loses the engine', () => {
+  it('is counted if agent and engine die together and the engine disappears from the list', () => {
     const { timers, directory, crashes, unlist } = setUp()
     timers.advance(50)
     directory.loseAgent(ADDRESS)
@@ -133,8 +133,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is not counted where the list loses an engine that lives', () => {
-    // Guards against innocents refused as deadly: an outage of the store makes entries lapse.
+  it('is not counted if a live engine disappears from the list', () => {
+    // Guards against refusing harmless requests as the cause of crashes: entries expire during an outage of the store.
     const { timers, directory, crashes, unlist } = setUp()
     unlist()
     timers.advance(1_400)
@@ -143,8 +143,8 @@
     expect(crashes.crashCount('h')).to.equal(0)
   })
 
-  it('is not counted where an engine drains and ends', () => {
-    // Guards against innocents refused as deadly: a stream outlasts the time that a leaving engine has.
+  it('is not counted if a draining engine exits', () => {
+    // Guards against refusing harmless requests as the cause of crashes: a stream may outlast a leaving engine.
     const { timers, crashes, list, tellDeath, breakOff } = setUpRun()
     list({ isDraining: true })
     timers.advance(2_000)
@@ -154,8 +154,8 @@
     expect(crashes.crashCount('h')).to.equal(0)
   })
 
-  it('is not counted where an engine leaves the list, serves on and ends', () => {
-    // Guards against the same where an engine leaves without a word.
+  it('is not counted if an engine leaves the list, continues to serve and exits', () => {
+    // Guards against the same fault when an engine leaves without an announcement.
     const { timers, crashes, unlist, tellDeath, breakOff } = setUpRun()
     unlist()
     timers.advance(2_000)
@@ -165,7 +165,7 @@
     expect(crashes.crashCount('h')).to.equal(0)
   })
 
-  it('is counted where an engine was off the list for a while and is back', () => {
+  it('is counted if the engine was off the list for a while and is listed again', () => {
     const { timers, crashes, list, unlist, tellDeath, breakOff } = setUpRun()
     unlist()
     timers.advance(2_000)
@@ -177,8 +177,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where the router cuts a run at an engine that is known to be dead', () => {
-    // Guards against a deadly request that kills engine after engine: their connections fall silent, and its caller leaves.
+  it('is counted if the router aborts a run on an engine that is known to be dead', () => {
+    // Guards against a request that kills engine after engine: their connections stay open but silent, and the caller leaves.
     const { timers, crashes, tellDeath, breakOff } = setUpRun()
     tellDeath()
     timers.advance(2_000)
@@ -186,8 +186,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is counted where an engine dies in silence and the list loses it before the run is given up', () => {
-    // Guards against the same: off the list for a while, a dead engine looked like one that had left as announced.
+  it('is counted if an engine dies without closing its connections and is unlisted before the run is aborted', () => {
+    // Guards against the same fault: a dead engine that was unlisted for a while looked like one that had left gracefully.
     const { timers, crashes, unlist, tellDeath, breakOff } = setUpRun()
     timers.advance(50)
     tellDeath()
@@ -198,8 +198,8 @@
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
-  it('is not counted where the router cuts a run at an engine that dies later', () => {
-    // Guards against innocents refused as deadly: their callers had left.
+  it('is not counted if the router aborts a run on an engine that dies later', () => {
+    // Guards against refusing harmless requests as the cause of crashes after their callers had left.
     const { timers, crashes, tellDeath, breakOff } = setUpRun()
     breakOff(true)
     timers.advance(50)
--- a/packages/gateway/src/requests/watchCrash.ts
+++ b/packages/gateway/src/requests/watchCrash.ts
@@ -4,12 +4,12 @@
 import type { GatewayContext, RoutedRequest } from './types.js'
 
 /**
- * Time within which an agent has told of its engine's death, or been heard again: it notices a death within 0.8 s, and is heard every 1.5 s
- * though nothing has changed.
+ * Time within which an agent reports its engine's death or sends another message: it detects a death within 0.8 s, and sends a
+ * message every 1.5 s even if nothing has changed.
  */
 const DEATH_REPORT_MS = 2_500
 
-/** An agent that is heard this long after a run broke off would know of its engine's death. */
+/** A message from the agent this long after a run was interrupted, without a report of its engine's death, proves the engine alive. */
 const ALIVE_AFTER_MS = 500
 
 const noteCrash = ({ crashes, crashNotifier }: GatewayContext, { requestHash }: RoutedRequest, { start }: KnownServer): void => {
@@ -18,11 +18,11 @@
 }
 
 /**
- * Counts a run that broke off as a crash by its request when its engine has died, or when no agent says that it lives. One that the
- * router cut, as its caller left or its time was over, counts only where the engine is known to be dead.
+ * Counts an interrupted run as a crash caused by its request if the engine has died, or if no agent confirms that it is alive. A run
+ * that the router aborted, because its caller left or its deadline passed, counts only if the engine is already known to be dead.
  *
- * Guards against innocent requests that are turned away as deadly: engines that lost answers by resets and lived on, or that left as they had
- * announced, had callers who sent the same request twice refused for seconds.
+ * Guards against harmless requests that are refused as the cause of crashes: engines that lost answers by connection resets, or that
+ * left as announced, had callers whose resent requests were refused for seconds.
  */
 export const watchCrash = (context: GatewayContext, request: RoutedRequest, server: KnownServer, wasAborted: boolean): void => {
   const { directory, timers } = context
--- a/packages/gateway/src/requests/watchLoads.ts
+++ b/packages/gateway/src/requests/watchLoads.ts
@@ -6,16 +6,16 @@
 import type { Loader } from '../placing/findLoader.js'
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** Why a want was taken back. */
+/** Reason with which a want is withdrawn. */
 export const MOVED_REASON = 'another engine has the model sooner'
 
-/** Time between two looks whether another engine would have the model sooner. */
+/** How often a router checks whether another engine would have the model sooner. */
 const RECHOOSE_PERIOD_MS = 250
 
-/** Another engine must have the model this much sooner: a want that moves loses its place, and states are a tenth of a second old. */
+/** Minimum gain for moving to another engine: a moved want loses its place in the queue, and states are a tenth of a second old. */
 const RECHOOSE_GAIN_MS = 400
 
-/** The engine's agent says that it holds the model or has begun to load it. */
+/** The engine holds the model or has started to load it, by its agent's report. */
 const hasOrIsLoading = (state: AgentState, modelName: string, hasOwnBegun: () => boolean): boolean => {
   if (!state.isUp || state.isDraining) return false
   if (state.models.some(model => model.name === modelName) && !state.leavingModels.includes(modelName)) return true
@@ -23,8 +23,10 @@
 }
 
 /**
- * Guards against a model that is loaded twice for one burst: routers that know different states choose different engines.
- * A router that hears of a load that has begun elsewhere takes its own want back, which the slower agent then forgets.
+ * Withdraws a want when another engine has started to load the same model.
+ *
+ * Guards against a model that is loaded twice for one burst: routers with different views of the state choose different engines. The
+ * agent that has not started to load drops the withdrawn want.
  */
 export const watchLoadsElsewhere = (context: GatewayContext, request: RoutedRequest, loader: Loader, want: OpenWant): Unsubscribe => {
   const { modelName } = request.caller
@@ -42,11 +44,10 @@
 }
 
 /**
- * Moves a want to an engine that has the model sooner, while its load has not begun.
+ * Moves a want to an engine that will have the model sooner, as long as its load has not started.
  *
- * Load pattern: rare models that take turns. What an engine is expected to do when a request comes is not what it does: streams
- * last longer, other models are wanted there. Kept at the engine that was first chosen, callers wait while others with a copy
- * have nothing to do.
+ * Load pattern: rare models that take turns. Estimates made when a request arrives become wrong: streams last longer, and other models
+ * are requested on the same engine. Tied to their first choice, callers would wait while other engines with a copy are idle.
  */
 export const watchFasterLoader = (
   context: GatewayContext, spec: EngineSpec, modelName: string, chosen: Loader, choose: () => Loader | undefined, want: OpenWant
