--- a/packages/gateway/src/placing/createColdLoads.test.ts
+++ b/packages/gateway/src/placing/createColdLoads.test.ts
@@ -17,8 +17,8 @@
 const holding = (address: string) => makeAgentState(address, { models: [{ name: 'm', adapters: [] }] })
 
 describe('loads from the weight store', () => {
-  it('count from the moment in which they are asked for', () => {
-    // Guards against more loads than the store carries before the agent's word comes.
+  it('count from the moment they are requested', () => {
+    // Guards against starting more loads than the store carries before the agent's report arrives.
     const { timers, loads } = setUp()
     loads.noteRequested('a')
     expect(loads.count()).to.equal(1)
@@ -31,7 +31,7 @@
     expect(loads.count()).to.equal(0)
   })
 
-  it('count while they wait behind another order', () => {
+  it('count while they are queued behind another order', () => {
     const { loads } = setUp()
     loads.takeState('a', makeAgentState('a', { queuedModels: ['m'] }))
     expect(loads.count()).to.equal(1)
@@ -39,14 +39,14 @@
     expect(loads.count()).to.equal(0)
   })
 
-  it('do not count where the agent went away', () => {
+  it('do not count once the agent is lost', () => {
     const { loads } = setUp()
     loads.takeState('a', loading('a'))
     loads.lose('a')
     expect(loads.count()).to.equal(0)
   })
 
-  it('are fewer at a time once two of them took twice as long', () => {
+  it('get a lower limit once two of them took twice as long as one', () => {
     const { timers, loads } = setUp()
     const first = loads.limit()
     loads.takeState('a', loading('a'))
@@ -55,8 +55,8 @@
     expect(loads.limit()).to.be.below(first)
   })
 
-  it('are not more at a time by one that began alone', () => {
-    // Guards against ever more loads at a store that carries one.
+  it('get no higher limit from one that started alone', () => {
+    // Guards against starting ever more loads at a store that carries one.
     const { timers, loads } = setUp()
     const first = loads.limit()
     loads.takeState('a', loading('a'))
@@ -67,7 +67,7 @@
     expect(loads.limit()).to.equal(first)
   })
 
-  it('tell by the order in which they began, not in which they were heard of', () => {
+  it('are ordered by their start, not by the arrival of the reports', () => {
     const { timers, loads } = setUp()
     const first = loads.limit()
     timers.advance(2_000)
@@ -81,7 +81,7 @@
     expect(loads.limit()).to.be.above(first)
   })
 
-  it('are more at a time once two of them took no longer than one', () => {
+  it('get a higher limit once two of them took no longer than one', () => {
     const { timers, loads } = setUp()
     const first = loads.limit()
     loads.takeState('a', loading('a'))
--- a/packages/gateway/src/placing/createColdLoads.ts
+++ b/packages/gateway/src/placing/createColdLoads.ts
@@ -5,13 +5,13 @@
 import type { StorePace } from '@figmount/decisions'
 import type { AgentState } from '@figmount/fleet'
 
-/** An agent's word on a load that it was asked for comes within this time. */
+/** An agent reports a load that was requested from it within this time. */
 const UNCONFIRMED_MS = 600
 
 interface RunningLoad {
   readonly modelName: string
   readonly beganMs: number
-  /** Loads that were under way when it began, itself counted. */
+  /** Loads in progress when it started, including itself. */
   readonly atOnceCount: number
 }
 
@@ -19,15 +19,15 @@
 export interface ColdLoads {
   readonly takeState: (address: string, state: AgentState) => void
   readonly lose: (address: string) => void
-  /** An agent was asked for a load whose begin is not seen yet. */
+  /** A load was requested from an agent that has not reported its start yet. */
   readonly noteRequested: (address: string) => void
-  /** Loads that are under way or about to be. */
+  /** Loads that are in progress or about to start. */
   readonly count: () => number
-  /** Loads that may be under way at a time. */
+  /** Loads that may be in progress at a time. */
   readonly limit: () => number
 }
 
-/** The engine loads from the weight store, or waits to. */
+/** The engine loads from the weight store, or has such a load queued. */
 const isPending = (state: AgentState): boolean => {
   if (state.isLoadingCold) return true
   for (const modelName of state.queuedModels) {
@@ -36,7 +36,7 @@
   return false
 }
 
-/** Watches the loads from the weight store; `aloneMsOf` is the time that a model's load takes alone. */
+/** Tracks the loads from the weight store; `aloneMsOf` is the time that a model's load takes without others. */
 export const createColdLoads = (timers: TimerService, aloneMsOf: (modelName: string) => number | undefined): ColdLoads => {
   const pending = new Set<string>()
   const requestedMs = new Map<string, number>()
@@ -50,9 +50,9 @@
     pace = notePace(pace, { aloneMs, tookMs: nowMs - load.beganMs, atOnceCount: load.atOnceCount, hasEnded }, nowMs)
   }
 
-  // Guards against a load that is taken for proof of room: the store slows a load by those that were under way when it began,
-  // and the first of two takes its time alone. Counted with the second, it has routers begin ever more at a store that
-  // carries one. Agents' words cross, so an older load may be heard of after a newer one.
+  // Guards against a load that is mistaken for proof of spare capacity: the store slows a load by those in progress when it started, so
+  // the first of two takes no longer than alone. Attributed to both, its time would make routers start ever more loads at a store that
+  // carries one. Agents' messages may arrive out of order, so an older load may be reported after a newer one.
   const noteBegun = (address: string, modelName: string, beganMs: number): void => {
     let atOnceCount = 1
     for (const [other, load] of running) {
--- a/packages/gateway/src/placing/createOccupancyMeter.ts
+++ b/packages/gateway/src/placing/createOccupancyMeter.ts
@@ -1,14 +1,14 @@
 import { guess, observe } from '@figmount/decisions'
 
-/** For how long requests keep their places at engines, as one router sees it. */
+/** How long requests occupy their slots on engines, as one router measures it. */
 export interface OccupancyMeter {
-  /** A request has ended this long after its first event. */
+  /** Adds a request that ended this long after its first event. */
   readonly note: (occupiedMs: number) => void
-  /** Mean over the newest requests; 0 before the first one has ended. */
+  /** Mean over the most recent requests; 0 until the first one has ended. */
   readonly meanMs: () => number
 }
 
-/** Makes the meter of one router. */
+/** Creates the meter of one router. */
 export const createOccupancyMeter = (): OccupancyMeter => {
   let occupied = guess(0)
   return {
--- a/packages/gateway/src/placing/createQueueScaler.ts
+++ b/packages/gateway/src/placing/createQueueScaler.ts
@@ -7,31 +7,31 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext, RoutedRequest } from '../requests/types.js'
 
-/** Part of a route's objective that requests may queue before another replica is asked for. */
+/** Fraction of a route's latency objective that requests may queue before another replica is requested. */
 const QUEUE_SHARE = 0.3
 
 const MS_PER_S = 1_000
 
-/** Time between two replicas of one model that a router asks for: a copy on disk is loaded in less. */
+/** Minimum time between two requests of one router for replicas of a model: a copy on disk is loaded in less. */
 const REQUEST_PERIOD_MS = 400
 
 /**
- * A replica that was asked for because of a queue is forgotten after this time. It is asked for again while the queue lasts; kept
- * for longer it would be loaded although another engine has relieved the queue.
+ * Lifetime of a want for a replica because of a queue. It is renewed while the queue lasts; with a longer lifetime the replica would be
+ * loaded although another engine has relieved the queue.
  */
 const QUEUE_WANT_MS = 2_000
 
-/** Asks for replicas of models whose requests queue. */
+/** Requests additional replicas of models whose requests queue. */
 export interface QueueScaler {
-  /** Notes how long a request is expected to queue at the best server that holds its model. */
+  /** Takes the time that a request is expected to queue on the best server that holds its model. */
   readonly note: (context: GatewayContext, request: RoutedRequest, servers: readonly KnownServer[], queueMs: number) => void
 }
 
 /**
- * Watches the queues that requests meet.
+ * Scales models by the expected queueing time of their requests.
  *
- * Load pattern: demand that jumps to a model within a second. The rate of requests shows it only seconds later; the
- * queue in front of its few replicas shows it with the third request.
+ * Load pattern: demand for a model that rises within a second. The request rate shows it only seconds later; the queue at its few
+ * replicas shows it with the third request.
  */
 export const createQueueScaler = (timers: TimerService): QueueScaler => {
   const requestedMs = new Map<string, number>()
--- a/packages/gateway/src/placing/findLoader.ts
+++ b/packages/gateway/src/placing/findLoader.ts
@@ -7,18 +7,18 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext } from '../requests/types.js'
 
-/** An engine that is to load a model, by its agent. */
+/** An engine that is to load a model, and its agent. */
 export interface Loader {
   readonly server: KnownServer
   readonly agent: AgentLink
   readonly readyInMs: number
-  /** The engine has no copy of the weights: they come from the weight store. */
+  /** The engine has no copy of the weights: they are loaded from the weight store. */
   readonly isCold: boolean
-  /** The load is under way or asked for already. */
+  /** The load is in progress or queued already. */
   readonly isLoading: boolean
 }
 
-/** The engine that is to load a model, which was asked for in vain for `unmetForMs`; undefined while no agent can. */
+/** Chooses the engine that is to load a model, whose requests were not served for `unmetForMs`; undefined if no agent can load it. */
 export const findLoader = (
   context: GatewayContext, spec: EngineSpec, model: ModelSpec, servers: readonly KnownServer[], unmetForMs = 0
 ): Loader | undefined => {
--- a/packages/gateway/src/placing/requestReplica.ts
+++ b/packages/gateway/src/placing/requestReplica.ts
@@ -7,30 +7,30 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext } from '../requests/types.js'
 
-/** A replica that was asked for ahead of requests is given up after this time: two loads from a slow weight store. */
+/** A replica requested ahead of demand is dropped after this time: that of two loads from a slow weight store. */
 const PROACTIVE_WANT_MS = 30_000
 
 /**
- * Loads from the weight store at a time beyond which none is begun ahead of requests. An engine that loads takes no other
- * order for seconds: with half of the engines loading, callers of rare models wait out their time behind them.
+ * Concurrent loads from the weight store beyond which none is started ahead of requests. An engine that loads accepts no other order for
+ * seconds: with half of the engines loading, callers of rare models time out behind them.
  */
 const MAX_COLD_LOADS = 1
 
-/** A replica that is wanted ahead of requests. */
+/** A replica that is requested before requests need it. */
 export interface ReplicaRequest {
   readonly spec: EngineSpec
   readonly model: ModelSpec
   readonly servers: readonly KnownServer[]
-  /** Requests of the next seconds that are late without it, as the router sees. */
+  /** Requests of the next seconds that would be late without it, as this router expects. */
   readonly lateCount: number
   readonly reason: string
-  /** Time after which the agent forgets it unless it is asked again. */
+  /** Time after which the agent drops the want unless it is requested again. */
   readonly timeLeftMs?: number
-  /** Loads from the weight store at a time beyond which none is begun for this ask. */
+  /** Concurrent loads from the weight store beyond which this replica is not requested. */
   readonly maxColdLoads?: number
 }
 
-/** Asks an agent for one more replica, for nobody in particular. */
+/** Requests one more replica from an agent, on behalf of no particular request. */
 export const requestReplica = (context: GatewayContext, { spec, model, servers, lateCount, reason, timeLeftMs = PROACTIVE_WANT_MS, maxColdLoads = MAX_COLD_LOADS }: ReplicaRequest): void => {
   const loader = findLoader(context, spec, model, servers)
   if (!loader) return
--- a/packages/gateway/src/placing/viewServers.ts
+++ b/packages/gateway/src/placing/viewServers.ts
@@ -5,7 +5,7 @@
 import type { Directory, KnownServer } from '../directory/types.js'
 import type { RoutedRequest } from '../requests/types.js'
 
-/** Asking an agent for an adapter and fetching it: 5 to 10 ms and two messages. */
+/** Time to request an adapter from an agent and fetch it: 5 to 10 ms and two messages. */
 const ADAPTER_FETCH_MS = 20
 
 const loadingLeftMs = ({ state, stateAsOfMs }: KnownServer, nowMs: number): number => {
@@ -16,7 +16,7 @@
 const coldWaitLeftMs = ({ state, stateAsOfMs }: KnownServer, nowMs: number): number =>
   state ? Math.max(0, state.coldWaitMs - (nowMs - stateAsOfMs)) : 0
 
-/** The server's copy of a model, when it takes requests for it. */
+/** The server's replica of a model, unless the model is about to be unloaded there. */
 export const heldModel = (server: KnownServer, modelName: string): HeldModel | undefined => {
   if (server.state?.leavingModels.includes(modelName)) return undefined
   const models = server.state ? server.state.models : server.entry.models
@@ -24,9 +24,9 @@
 }
 
 /**
- * Models that several engines hold; one that an engine is about to unload counts no more there.
+ * Models that several engines hold; an engine that is about to unload the model is not counted.
  *
- * Guards against two engines that each evict a busy model as the other's spare: the unload of one waits for running streams.
+ * Guards against two engines that each evict a busy model as redundant: an unload only starts once running streams have ended.
  */
 export const viewReplicas = (directory: Directory): readonly ModelReplicas[] => {
   const counts = new Map<string, number>()
@@ -78,7 +78,7 @@
   return { isAtHand: false, loadMs: model.coldLoadMs }
 }
 
-/** Time until an agent can begin to load a model; until the engine has it where that is wanted there already. */
+/** Time until an agent can start to load a model; if the model is queued there already, time until it is loaded. */
 export const busyMsOf = (spec: EngineSpec, server: KnownServer, modelName: string, nowMs: number): number => {
   const { state } = server
   if (!state) return 0
@@ -99,7 +99,7 @@
   readonly spec: EngineSpec
   readonly model: ModelSpec
   readonly servers: readonly KnownServer[]
-  /** Time for which the model has been asked for in vain: what makes room for it may cost the more. */
+  /** Time for which the model's requests were not served: the longer it is, the more an eviction for it may cost. */
   readonly unmetForMs: number
   readonly nowMs: number
 }
--- a/packages/gateway/src/placing/watchReplicas.ts
+++ b/packages/gateway/src/placing/watchReplicas.ts
@@ -7,13 +7,13 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext } from '../requests/types.js'
 
-/** Time between two looks at the replicas. */
+/** Time between two reviews of the replicas. */
 export const REPLICA_PERIOD_MS = 250
 
-/** A model is busy with this many prompt tokens a second, a twentieth of an engine's rate: a few requests in ten seconds. */
+/** A model is busy at this many prompt tokens per second, a twentieth of an engine's rate: a few requests in ten seconds. */
 const BUSY_TOKENS_PER_S = 2_000
 
-/** Engines with a copy of a busy model: two may go at once. */
+/** Engines that should have a copy of a busy model, so that it survives the loss of two at once. */
 const MIN_BUSY_COPIES = 3
 
 interface ModelPlacement {
@@ -29,7 +29,7 @@
 
 const NO_PLACEMENT: Counts = { replicaCount: 0, comingCount: 0, copyCount: 0, promptTokensPerS: 0 }
 
-/** Where the models stand, by one walk over the engines: there are hundreds of models, and few of them at each engine. */
+/** Counts where the models are in one pass over the engines: there are hundreds of models, and few of them on each engine. */
 export const placementsOf = (models: readonly ModelSpec[], servers: readonly KnownServer[]): readonly ModelPlacement[] => {
   const counts = new Map<string, Counts>()
   const add = (modelName: string, change: (known: Counts) => Partial<Counts>): void => {
@@ -61,25 +61,24 @@
   const [short] = planReplicas(placements.map(standing => ({ ...standing, modelName: standing.model.name })))
   const busiest = placements.find(standing => standing.model.name === short)
   if (busiest) ask(busiest, 'demand')
-  // The engines that hold a busy model may crash together, and a load from the weight store takes longer than its callers
-  // wait. Copies on other engines bring it back in half a second.
+  // The engines that hold a busy model may crash together, and a load from the weight store takes longer than its callers wait. With a
+  // copy on another engine the model is back in half a second.
   const scarce = placements.find(standing =>
     standing.promptTokensPerS > BUSY_TOKENS_PER_S && standing.copyCount < MIN_BUSY_COPIES && standing.comingCount === 0)
   if (scarce) ask(scarce, 'few copies')
-  // A model that no engine holds and none has a copy of costs its next caller a load from the weight store. Bringing
-  // it while nobody waits leaves a copy on the engine's disk, from which it is back in half a second. Those go first that
-  // callers were refused of late.
+  // A model without any replica or copy costs its next caller a load from the weight store. Loading it while no caller waits leaves a
+  // copy on the engine's disk, from which it is loaded in half a second. Models whose callers were refused recently come first.
   const isIdle = placements.every(standing => standing.promptTokensPerS === 0)
   const absent = placements
     .filter(standing => standing.copyCount === 0 && standing.comingCount === 0)
     .sort((a, b) => context.demand.requestsPerS(b.model.name) - context.demand.requestsPerS(a.model.name))
-  // Before there are callers nobody is kept waiting, and as many go at a time as run at full speed.
+  // Before the first requests arrive no caller is delayed, so as many loads run at a time as the store carries at full speed.
   if (absent[0]) ask(absent[0], 'no copy', isIdle ? Infinity : undefined)
 }
 
 /**
- * Looks after the replicas of all models. Every router does so by the same figures; each acts at one look in as many
- * as there are routers, drawn at random, so that a shortage is not answered by all of them at once.
+ * Reviews the replicas of all models. All routers decide by the same figures, so each one acts, at random, in only one of as many reviews
+ * as there are routers: a shortage is not answered by all of them at once.
  */
 export const watchReplicas = (context: GatewayContext): void => {
   if (context.random() * Math.max(1, context.routerCount()) > 1) return
