--- a/packages/gateway/src/retries/createCrashHistory.test.ts
+++ b/packages/gateway/src/retries/createCrashHistory.test.ts
@@ -3,9 +3,9 @@
 
 import { createCrashHistory } from './createCrashHistory.js'
 
-describe('crash book', () => {
+describe('crash history', () => {
   it('counts each start of a server that dies once', () => {
-    // Guards against crashes that are missed as the server keeps its id.
+    // Guards against missed crashes of a server that restarts under the same id.
     const book = createCrashHistory(createVirtualTimers())
     for (const startedAtUnixMs of [1_000, 2_000, 2_000, 3_000]) book.note('h', { serverId: 'a', startedAtUnixMs })
     expect(book.crashCount('h')).to.equal(3)
--- a/packages/gateway/src/retries/createCrashHistory.ts
+++ b/packages/gateway/src/retries/createCrashHistory.ts
@@ -3,14 +3,14 @@
 import type { TimerService } from '@figmount/base'
 import type { ServerStart } from '@figmount/fleet'
 
-/** How long a request that crashed servers is remembered: its caller sends it again within seconds, or minutes. */
+/** Retention of a request that crashed servers: its caller resends it within seconds, or minutes. */
 const RETENTION_MS = 120_000
 
-/** Requests remembered at a time. */
+/** Maximum number of stored requests. */
 const MAX_REQUESTS = 500
 
 interface Crashes {
-  /** Each start of a server counts: one may die of the request again and again under one id. */
+  /** Each start of a server counts: a server may crash repeatedly under one id because of the same request. */
   readonly startKeys: ReadonlySet<string>
   readonly lastMs: number
 }
@@ -18,15 +18,15 @@
 /** Requests that were running when their backend server died. */
 export interface CrashHistory {
   readonly note: (requestHash: string, start: ServerStart) => void
-  /** Starts of servers that died under the request. */
+  /** Number of server starts that died while they ran the request. */
   readonly crashCount: (requestHash: string) => number
 }
 
-/** Makes the crash book of one router. */
+/** Creates the crash history of one router. */
 export const createCrashHistory = (timers: TimerService): CrashHistory => {
   const crashesByHash = new Map<string, Crashes>()
 
-  // Entries stand in the order of their newest crash.
+  // Entries are ordered by their latest crash.
   const trim = (): void => {
     const nowMs = timers.nowMs()
     for (const [hash, crashes] of crashesByHash) {
--- a/packages/gateway/src/retries/createCrashNotifier.test.ts
+++ b/packages/gateway/src/retries/createCrashNotifier.test.ts
@@ -7,9 +7,9 @@
 
 const crashOf = (requestHash: string) => ({ requestHash, start: { serverId: 'a', startedAtUnixMs: undefined } })
 
-describe('telling of crashes', () => {
-  it('sends those of one death as one message', () => {
-    // Guards against a message for each request of a dead engine to every router.
+describe('crash notifier', () => {
+  it('sends the crashes of one server death as one message', () => {
+    // Guards against a message to every router for each request of a dead engine.
     const timers = createVirtualTimers()
     const sent: CrashNotice[] = []
     const teller = createCrashNotifier(timers, notice => { sent.push(notice) })
--- a/packages/gateway/src/retries/createCrashNotifier.ts
+++ b/packages/gateway/src/retries/createCrashNotifier.ts
@@ -1,18 +1,19 @@
 import type { TimerService } from '@figmount/base'
 import type { Crash, CrashNotice } from '@figmount/fleet'
 
-/** Crashes within this time go out as one message; a caller takes longer to send its request again. */
+/** Crashes within this time are sent as one message; a caller takes longer to resend its request. */
 const BATCH_MS = 50
 
-/** Tells other routers of requests that were running when their servers died. */
+/** Reports to other routers which requests were running when their servers died. */
 export interface CrashNotifier {
   readonly notify: (crash: Crash) => void
 }
 
 /**
- * Gathers crashes before they go out.
+ * Batches crashes before they are sent.
  *
- * Guards against an engine's death with dozens of requests: told one by one through two agents each, they were thousands of messages at once.
+ * Guards against a flood of messages when an engine dies with dozens of requests: sent one by one through two agents each, they were
+ * thousands of messages at once.
  */
 export const createCrashNotifier = (timers: TimerService, send: (notice: CrashNotice) => void): CrashNotifier => {
   let batch: readonly Crash[] = []
--- a/packages/gateway/src/retries/createRetryBudget.ts
+++ b/packages/gateway/src/retries/createRetryBudget.ts
@@ -8,14 +8,14 @@
   readonly repeatTimesMs: number[]
 }
 
-/** Repeats that this router may still send, by service. */
+/** Retries that this router may still send, by service. */
 export interface RetryBudget {
   readonly noteRequest: (serviceName: string) => void
-  /** Takes one repeat out, or says that none is left. */
+  /** Takes one retry from the budget; returns false if none is left. */
   readonly takeRetry: (serviceName: string, routerCount: number) => boolean
 }
 
-/** Makes the budget of one router. */
+/** Creates the retry budget of one router. */
 export const createRetryBudget = (limits: RetryLimits, timers: TimerService): RetryBudget => {
   const histories = new Map<string, ServiceHistory>()
 
--- a/packages/gateway/src/streams/createEventSplitter.test.ts
+++ b/packages/gateway/src/streams/createEventSplitter.test.ts
@@ -7,7 +7,7 @@
 const STREAM = [1, 2, 3].map(event).join('')
 
 describe('event splitter', () => {
-  it('gives the same events however the bytes are cut', () => {
+  it('returns the same events however the bytes are split into chunks', () => {
     fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 12 }), { minLength: 1 }), sizes => {
       const splitter = createEventSplitter()
       const got: string[] = []
@@ -23,12 +23,12 @@
     }), { seed: 2 })
   })
 
-  it('takes carriage returns and comments', () => {
+  it('accepts carriage returns and comments', () => {
     const events = createEventSplitter().push(Buffer.from('id: 7\r\ndata: x\r\n\r\n: ping\n\n'))
     expect(events.map(({ eventId }) => eventId)).to.deep.equal(['7', ''])
   })
 
-  it('keeps an event that has not ended', () => {
+  it('holds back an incomplete event', () => {
     const splitter = createEventSplitter()
     expect(splitter.push(Buffer.from('id: 1\ndata: pi'))).to.deep.equal([])
     expect(splitter.rest().toString()).to.equal('id: 1\ndata: pi')
--- a/packages/gateway/src/streams/createEventSplitter.ts
+++ b/packages/gateway/src/streams/createEventSplitter.ts
@@ -1,14 +1,14 @@
-/** One event of a stream, with its bytes as they came. */
+/** One event of a stream, with its bytes as received. */
 export interface StreamEvent {
   readonly bytes: Buffer
   /** Empty for an event without an id, such as a comment. */
   readonly eventId: string
 }
 
-/** Cuts a stream of bytes into events. */
+/** Splits a byte stream into events. */
 export interface EventSplitter {
   readonly push: (chunk: Buffer) => readonly StreamEvent[]
-  /** Bytes of an event that has not ended. */
+  /** Bytes of an event that is not complete yet. */
   readonly rest: () => Buffer
 }
 
@@ -29,7 +29,7 @@
 
 const idOf = (bytes: Buffer): string => (ID_LINE.exec(bytes.toString('latin1'))?.[1] ?? '').trim()
 
-/** Makes a splitter for one `text/event-stream` body. */
+/** Creates a splitter for one `text/event-stream` body. */
 export const createEventSplitter = (): EventSplitter => {
   let pending: Buffer = Buffer.alloc(0)
   return {
--- a/packages/gateway/src/streams/relayEvents.test.ts
+++ b/packages/gateway/src/streams/relayEvents.test.ts
@@ -24,16 +24,16 @@
   return { timers, message, end, abortCount: () => abortCount, drain: () => drain() }
 }
 
-describe('passing on a stream', () => {
-  it('does not take a reader that stands still for a silent server', async () => {
-    // Guards against a stream that is cut because its caller reads slowly.
+describe('relaying a stream', () => {
+  it('does not mistake a stalled reader for a silent server', async () => {
+    // Guards against ending a stream because its caller reads slowly.
     const { timers, message, abortCount } = setUp()
     message.emit('data', Buffer.from('id: 1\ndata: x\n\n'))
     timers.advance(SILENCE_MS * 2)
     expect(abortCount()).to.equal(0)
   })
 
-  it('ends one whose server falls silent once the reader goes on', async () => {
+  it('ends a stream whose server sends nothing after the reader has resumed', async () => {
     const { timers, message, end, abortCount, drain } = setUp()
     message.emit('data', Buffer.from('id: 1\ndata: x\n\n'))
     timers.advance(SILENCE_MS * 2)
--- a/packages/gateway/src/streams/relayEvents.ts
+++ b/packages/gateway/src/streams/relayEvents.ts
@@ -14,15 +14,15 @@
 interface Options {
   readonly answer: OpenAnswer
   readonly timers: TimerService
-  /** Takes an event; returns true while the reader keeps up. */
+  /** Takes an event; returns false when the reader is too slow. */
   readonly take: (event: StreamEvent) => boolean
-  /** Calls back when the reader takes more. */
+  /** Calls back once the reader can take more. */
   readonly onceDrained: (resume: () => void) => void
-  /** Longest time without an event after which the stream counts as broken. */
+  /** Time without an event after which the stream counts as broken. */
   readonly silenceMs: number
 }
 
-/** Passes on a server's events one by one until the stream ends or breaks off. */
+/** Relays a server's events one by one until the stream ends or breaks off. */
 export const relayEvents = async ({ answer, timers, take, onceDrained, silenceMs }: Options): Promise<RelayEnd> =>
   await new Promise(resolve => {
     const { message, abort } = answer
@@ -35,9 +35,9 @@
       resolve({ isWhole, reason })
     }
 
-    // Guards against a server that falls silent in the middle of a stream with its connection open: the caller would
-    // wait until it gives up. Ending the exchange lets a resumable stream go on elsewhere. While the reader takes nothing
-    // the server cannot be heard, so this is no silence of its own.
+    // Guards against a server that stops sending in the middle of a stream while its connection stays open: the caller would wait until
+    // it gives up. Aborting the exchange lets a resumable stream continue on another server. While the reader is stalled, nothing is read
+    // from the server, so that silence does not count.
     const stopWatching = timers.every(silenceMs / 4, () => {
       if (isPaused || timers.nowMs() - lastDataMs < silenceMs) return
       finish(false, `no event for ${silenceMs} ms`)
