--- a/packages/gateway/src/forwarding/constants.ts
+++ b/packages/gateway/src/forwarding/constants.ts
@@ -1,17 +1,17 @@
-/** Servers are one to three ms away and take 1 ms for a new connection; an instance without power never answers. */
+/** Servers are one to three ms away and accept a connection within 1 ms; an instance without power never answers. */
 export const CONNECT_TIMEOUT_MS = 600
 
 /**
- * An idle connection is not used again after this time. Servers close idle ones after a time of their own, and a
- * request that crosses the close may be lost; the longer it was idle the likelier.
+ * Idle time after which a connection is not reused. Servers close idle connections after a timeout of their own, and a request that
+ * crosses the close may be lost; the longer the connection was idle, the more likely this is.
  */
 export const IDLE_TIMEOUT_MS = 4_000
 
-/** A connection is given up this much before the time after which its server says it closes it. */
+/** A connection is closed this much before the idle timeout that its server announces. */
 export const IDLE_MARGIN_MS = 500
 
-/** Least time that a connection is kept, when a server names a very short one. */
+/** Minimum idle time of a connection if a server announces a very short timeout. */
 export const MIN_IDLE_MS = 100
 
-/** Largest answer that is read whole before the caller gets it; a larger one is refused as faulty. */
+/** Largest answer that is buffered before the caller gets it; a larger one counts as a fault of the server. */
 export const MAX_ANSWER_BYTES = 8 * 1024 * 1024
--- a/packages/gateway/src/forwarding/createConnectionPool.test.ts
+++ b/packages/gateway/src/forwarding/createConnectionPool.test.ts
@@ -3,8 +3,8 @@
 import { createConnectionPool } from './createConnectionPool.js'
 
 describe('connection pool', () => {
-  it('keeps no connection over a restart', () => {
-    // Guards against a request on a connection of a start that has gone.
+  it('reuses no connection across a restart of the server', () => {
+    // Guards against sending a request on a connection to a start that is gone.
     const pool = createConnectionPool()
     const before = pool.agentFor({ serverId: 'a', startedAtUnixMs: 1 })
     expect(pool.agentFor({ serverId: 'a', startedAtUnixMs: 1 })).to.equal(before)
--- a/packages/gateway/src/forwarding/createConnectionPool.ts
+++ b/packages/gateway/src/forwarding/createConnectionPool.ts
@@ -11,25 +11,25 @@
 const MS_PER_S = 1_000
 const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/
 
-/** Kept connections, one set for each start of a server. */
+/** Keep-alive connections, one pool for each start of a server. */
 export interface ConnectionPool {
   readonly agentFor: (start: ServerStart) => Agent
-  /** Notes how long the server keeps the connection of this answer open. */
+  /** Takes the idle timeout that the server announces in this answer. */
   readonly noteAnswer: (message: IncomingMessage) => void
-  /** Called when a connection is taken into use. */
+  /** Prepares a connection for a request. */
   readonly noteUse: (socket: Socket) => void
-  /** Closes the idle connections of starts that are not in use any more. */
+  /** Closes the idle connections of all other starts. */
   readonly retainStarts: (starts: readonly ServerStart[]) => void
   readonly close: () => void
 }
 
-/** Makes the pool of one router. */
+/** Creates the connection pool of one router. */
 export const createConnectionPool = (): ConnectionPool => {
   const agents = new Map<string, Agent>()
   const idleMs = new WeakMap<Socket, number>()
 
-  // Guards against bytes that a server sends when no request waits for an answer: they would be taken for the answer
-  // to the next request on the connection. A connection on which anything arrives while idle is destroyed.
+  // Guards against bytes that a server sends while no request is open: they would be taken for the answer to the next request on the
+  // connection. A connection that receives anything while idle is destroyed.
   const destroyOnData = function (this: Socket): void {
     this.destroy()
   }
@@ -56,8 +56,8 @@
   }
 
   return {
-    // Guards against a connection that was kept to the start before: after a loss of power it is silent for ever, and a
-    // request on it may count as run. A start's connections are its own.
+    // Guards against reusing a connection to a previous start: after a power loss it never answers, and a request on it may count as
+    // having run. Each start has its own connections.
     agentFor: start => {
       const startKey = startKeyOf(start)
       const agent = agents.get(startKey) ?? make()
--- a/packages/gateway/src/forwarding/readAnswer.ts
+++ b/packages/gateway/src/forwarding/readAnswer.ts
@@ -10,7 +10,7 @@
 
 const STEP = 'forwarding.readWhole'
 
-/** Reads an answer to its end; a fault when it broke off or is too large. */
+/** Reads an answer to its end; a fault if it breaks off or is too large. */
 export const readAnswer = async ({ message, abort }: OpenAnswer, serverId: string): Promise<Either<Fault, Buffer>> =>
   await new Promise(resolve => {
     const chunks: Buffer[] = []
--- a/packages/gateway/src/forwarding/sendToServer.test.ts
+++ b/packages/gateway/src/forwarding/sendToServer.test.ts
@@ -16,12 +16,12 @@
 const NO_BODY_ANSWER = 'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n'
 const BEGUN_ANSWER = 'HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf'
 
-/** More than a connection's receiver takes before it reads, less than a sender's system takes from its process. */
+/** More than a connection's receiver accepts before it reads, less than the sender's system buffers. */
 const LONG_BODY = Buffer.alloc(1_000_000)
 
 const timers = createTimerService()
 
-/** What a server has seen of one connection. */
+/** The events of one connection on the server's side. */
 interface Seen {
   readonly socket: Socket
   readonly how: string[]
@@ -48,7 +48,7 @@
     await once(server, 'listening')
   }
 
-  const send = async (signal: AbortSignal, body = Buffer.from('wall'), mayBeOnItsWay = true): ReturnType<typeof sendToServer> => {
+  const send = async (signal: AbortSignal, body = Buffer.from('wall'), mayBeInTransit = true): ReturnType<typeof sendToServer> => {
     const codec = { decodeAnswer: () => ({ requestId: '', serverId: SERVER_ID, isNotRun: false }) } as unknown as HeaderCodec
     const context: SendContext = { pool, codec, timers }
     const outbound: OutboundRequest = {
@@ -59,12 +59,12 @@
       headers: ['Content-Length', String(body.length)],
       body,
       headTimeoutMs: 5_000,
-      mayBeInTransit: () => mayBeOnItsWay
+      mayBeInTransit: () => mayBeInTransit
     }
     return await sendToServer(context, outbound, signal)
   }
 
-  // Not `once` of node:events, which fails at the error that some tests wait for.
+  // Not `once` of node:events, which rejects on the error that some tests wait for.
   const closeOf = async ({ socket }: Seen): Promise<void> => await new Promise(resolve => { socket.once('close', () => resolve()) })
 
   const untilSeen = async (check: (seen: Seen) => boolean): Promise<Seen> => {
@@ -86,9 +86,9 @@
     server.close()
   })
 
-  // A server's instance stands still, or the way to it is cut, while requests are on their way to it. Their callers leave.
-  // An orderly close comes after the bytes that are held up, so the server gets the whole request seconds later.
-  it('takes a request back that is still on its way when its caller leaves', async () => {
+  // A server's instance is paused, or the network to it is cut, while requests are in transit, and their callers leave. An orderly close
+  // is delivered after the delayed bytes, so the server would get the whole request seconds later.
+  it('cancels a request in transit when its caller leaves', async () => {
     await listen('', false)
     const leaving = new AbortController()
     const sent = send(leaving.signal, LONG_BODY)
@@ -102,7 +102,7 @@
     expect(seen.byteCount).to.be.lessThan(LONG_BODY.length)
   })
 
-  it('resets the connection of a request that may be on its way', async () => {
+  it('resets the connection of a request that may be in transit', async () => {
     await listen('')
     const leaving = new AbortController()
     const sent = send(leaving.signal)
@@ -113,8 +113,8 @@
     expect(seen.how).to.deep.equal(['ECONNRESET'])
   })
 
-  // A server at work is told of the end by a reset, and the one packet is lost: it would work on for nobody.
-  it('closes in order when its server has the request', async () => {
+  // A reset is sent only once. If that packet were lost, a server that runs the request would continue although no caller waits.
+  it('closes in order once the server has the request', async () => {
     await listen('')
     const leaving = new AbortController()
     const sent = send(leaving.signal, Buffer.from('wall'), false)
@@ -125,7 +125,7 @@
     expect(seen.how).to.deep.equal(['end'])
   })
 
-  // A reset is sent once. A server that has begun to answer has the request, so it must hear of the end also when a packet is lost.
+  // A server that has begun to answer has the request, so the end of the exchange must reach it even if a packet is lost.
   it('closes in order once the answer has begun', async () => {
     await listen(BEGUN_ANSWER)
     const leaving = new AbortController()
@@ -138,8 +138,8 @@
     expect(seen.how).to.deep.equal(['end'])
   })
 
-  // The caller's connection closes after its answer, while the server's is kept and used by the next request.
-  it('leaves a kept connection alone once its answer is whole', async () => {
+  // The caller's connection closes after its answer, while the server's stays open and is reused for the next request.
+  it('leaves a keep-alive connection open once its answer is complete', async () => {
     await listen(NO_BODY_ANSWER)
     const leaving = new AbortController()
     const first = (await send(leaving.signal)).unsafeCoerce()
--- a/packages/gateway/src/forwarding/sendToServer.ts
+++ b/packages/gateway/src/forwarding/sendToServer.ts
@@ -12,7 +12,7 @@
 import type { ConnectionPool } from './createConnectionPool.js'
 import type { OpenAnswer, OutboundRequest, SendFault } from './types.js'
 
-/** What sending needs. */
+/** Dependencies of a send. */
 export interface SendContext {
   readonly pool: ConnectionPool
   readonly codec: HeaderCodec
@@ -22,8 +22,8 @@
 const STEP = 'forwarding.send'
 
 /**
- * Sends one request to one server and returns once the answer's head is there. Aborting the signal ends the exchange
- * at any time, and the server stops working on it.
+ * Sends one request to one server and resolves with the head of its answer. Aborting the signal ends the exchange at any time, and the
+ * server stops working on it.
  */
 export const sendToServer = async (
   context: SendContext, outbound: OutboundRequest, signal: AbortSignal
@@ -44,10 +44,10 @@
     setHost: false
   })
 
-  // Guards against a request that reaches its server long after its caller has left: the server's instance stands still or the
-  // way to it is cut, and an orderly close comes after the bytes that are held up. A reset makes the system drop them. It is sent
-  // only once, so a server that has the request is told by an orderly close, which is sent again until it has arrived. A
-  // request that has ended well is destroyed already: its connection may serve the next one.
+  // Guards against a request that reaches its server long after its caller has left: while the server's instance is paused or the network
+  // is cut, an orderly close is delivered only after the delayed bytes. A reset makes the system discard them, but it is sent only once. A
+  // server that has the request therefore gets an orderly close, which is retransmitted until it arrives. A request that has completed
+  // is destroyed already: its connection may serve the next one.
   const abort = (): void => {
     const { socket } = request
     const isInTransit = !hasHead && !request.destroyed && outbound.mayBeInTransit()
@@ -87,8 +87,8 @@
     socket.once('connect', noteConnected)
   }
 
-  // Guards against an instance that is off: its connections stay open half-way for minutes. Nothing was sent, so the
-  // request can go elsewhere.
+  // Guards against an instance that is off: connection attempts to it stay pending for minutes. Nothing was sent, so the request can go to
+  // another server.
   const stopConnectTimer = timers.after(CONNECT_TIMEOUT_MS, () => { if (!isConnected) fail('timeout', 'no connection in time') })
   const stopHeadTimer = timers.after(outbound.headTimeoutMs, () => fail('timeout', 'no answer in time'))
 
--- a/packages/gateway/src/forwarding/types.ts
+++ b/packages/gateway/src/forwarding/types.ts
@@ -2,23 +2,23 @@
 import type { Fault } from '@figmount/base'
 import type { ServerAnswer, ServerStart } from '@figmount/fleet'
 
-/** A request as it goes to a server. */
+/** A request as it is sent to a server. */
 export interface OutboundRequest {
   readonly start: ServerStart
   /** host:port */
   readonly address: string
   readonly method: string
   readonly url: string
-  /** Names and values, one after the other, with those of the message's framing. */
+  /** Names and values alternately, including those of the message's framing. */
   readonly headers: readonly string[]
   readonly body: Buffer
-  /** Gives up with a fault after this time without an answer's head. */
+  /** Time limit for the head of the answer, after which the request fails. */
   readonly headTimeoutMs: number
-  /** Nothing shows yet that the server's instance has got what was sent. */
+  /** Nothing shows yet that the server's instance has received the request. */
   readonly mayBeInTransit: () => boolean
 }
 
-/** A server's answer whose body is still to be read. */
+/** A server's answer whose body was not read yet. */
 export interface OpenAnswer {
   readonly message: IncomingMessage
   readonly answer: ServerAnswer
@@ -26,7 +26,7 @@
   readonly abort: () => void
 }
 
-/** Why there is no answer. */
+/** Why a request got no answer. */
 export interface SendFault {
   readonly fault: Fault
   /** False when the request cannot have reached the server. */
