--- a/packages/gateway/src/limits/createQuotas.test.ts
+++ b/packages/gateway/src/limits/createQuotas.test.ts
@@ -11,7 +11,7 @@
 
 type Answer = Pick<UnitsAnswered, 'outcome' | 'waitMs'>
 
-/** A router with agents that answer questions for units as `answers` says; one without an answer is silent. */
+/** A router with agents that answer requests for units as `answers` says; one without an entry does not answer. */
 const setUp = (answers: Readonly<Record<string, Answer | undefined>>) => {
   const timers = createVirtualTimers()
   const events = createEventLog({ instance: 'r' as InstanceName, role: 'router', timers })
@@ -46,7 +46,7 @@
 const TAKEN: Answer = { outcome: 'taken', waitMs: 0 }
 
 describe('quotas of a router', () => {
-  it('are counted by one agent that was told so', async () => {
+  it('are counted by one agent, which is informed of it', async () => {
     const { sent, admit, asksTo } = setUp({ 'a:1': TAKEN, 'b:1': TAKEN })
     expect(await admit(10)).to.deep.equal({ isAdmitted: true })
     expect(await admit(10)).to.deep.equal({ isAdmitted: true })
@@ -55,8 +55,8 @@
     expect(sent[0]).to.deep.equal({ to: first, message: { type: 'limiterChosen', organisations: ['acme'], routerCount: 2 } })
   })
 
-  it('refuse at once what cannot fit yet, without asking again', async () => {
-    // Guards against a hot organisation whose refusals cost as much as its requests.
+  it('refuse at once what cannot fit yet, without asking the limiter again', async () => {
+    // Guards against an organisation far over its limit whose refusals cost as much as its requests.
     const { admit, asksTo } = setUp({ 'a:1': { outcome: 'refused', waitMs: 2_000 } })
     expect(await admit(100)).to.deep.equal({ isAdmitted: false, isOverLimit: true, retryAfterMs: 2_000 })
     const again = await admit(20)
@@ -67,8 +67,8 @@
     expect(asksTo()).to.have.length(2)
   })
 
-  it('are counted elsewhere when an agent does not answer', async () => {
-    // Guards against an agent that stands still and takes all requests of its organisations with it.
+  it('are counted by another agent when one does not answer', async () => {
+    // Guards against a paused agent that blocks all requests of its organisations.
     const both = { 'a:1': TAKEN, 'b:1': TAKEN }
     const probe = setUp(both)
     await probe.admit(10)
@@ -80,8 +80,8 @@
     expect(sent.find(({ to, message }) => to === silent && message.type === 'limiterChosen' && message.organisations.length === 0)).to.not.equal(undefined)
   })
 
-  it('are a part of the limit, from nothing on, while no agent is reached', async () => {
-    // Guards against routers that are cut off and let more than the limit through together.
+  it('are a share of the limit, in an initially empty bucket, while no agent is reachable', async () => {
+    // Guards against disconnected routers that together exceed the limit.
     const { timers, reached, admit } = setUp({ 'a:1': TAKEN })
     reached.clear()
     expect(await admit(100)).to.deep.include({ isAdmitted: false, isOverLimit: false })
--- a/packages/gateway/src/limits/createQuotas.ts
+++ b/packages/gateway/src/limits/createQuotas.ts
@@ -6,27 +6,27 @@
 import type { TokenBucket } from '@figmount/decisions'
 import type { Organisation, Organisations, OrganisationLimit, RouterMessage, UnitsAnswered } from '@figmount/fleet'
 
-/** A limiter answers within a few ms; one that takes longer stands still or is cut off. */
+/** Time limit for a limiter's answer, which takes a few ms: a slower limiter is paused or unreachable. */
 const ANSWER_MS = 150
 
-/** Time for which a limiter that did not answer is passed over. */
+/** Time for which a limiter that did not answer is not used. */
 const AVOID_MS = 2_000
 
-/** Limiters that are asked for one request. */
+/** Limiters that are tried for one request. */
 const MAX_LIMITER_TRIES = 2
 
-/** Come-back time when no limiter answers: links to others are open within a second. */
+/** Retry-after while no limiter answers: links to others are open within a second. */
 const NO_LIMITER_RETRY_MS = 500
 
-/** Time between two looks at which agents are reached, beside those with each request. */
+/** Time between two reviews of the reachable agents, in addition to the one with each request. */
 const REVIEW_MS = 250
 
-/** Whether a request may go on. */
+/** Whether a request is admitted. */
 export type Admission =
   | { readonly isAdmitted: true }
   | {
     readonly isAdmitted: false
-    /** False when nobody could tell, as no limiter answers. */
+    /** False if the request was refused only because no limiter answers. */
     readonly isOverLimit: boolean
     readonly retryAfterMs: number
   }
@@ -35,7 +35,7 @@
   readonly timers: TimerService
   readonly events: EventLog
   readonly organisations: () => Organisations | undefined
-  /** The most routers seen so far. */
+  /** The highest number of routers seen recently. */
   readonly routerCount: () => number
   /** Engine addresses of the agents whose links are open. */
   readonly reachableAddresses: () => readonly string[]
@@ -44,14 +44,14 @@
 
 /** Counts requests against their organisations' limits, which all routers share. */
 export interface Quotas {
-  /** Takes units for a request; may wait up to `maxWaitMs` for them. */
+  /** Takes units for a request, waiting up to `maxWaitMs` for them. */
   readonly admit: (organisation: Organisation, units: number, maxWaitMs: number) => Promise<Admission>
-  /** Gives units back of a request that has not run. */
+  /** Returns the units of a request that has not run. */
   readonly refund: (organisation: Organisation, units: number) => void
-  /** Counts a request that runs once more; it goes on whatever is left. */
+  /** Charges a request that is run once more, even beyond the limit. */
   readonly charge: (organisation: Organisation, units: number) => void
   readonly takeAnswer: (serverAddress: string, answer: UnitsAnswered) => void
-  /** The link to an agent was lost, or is new: what it was told counts no more. */
+  /** The link to an agent was lost or reopened: the agent has to be informed again. */
   readonly noteLost: (serverAddress: string) => void
   readonly stop: Unsubscribe
 }
@@ -60,13 +60,13 @@
 
 const ADMITTED: Admission = { isAdmitted: true }
 
-/** Makes the quotas of one router. */
+/** Creates the quotas of one router. */
 export const createQuotas = ({ timers, events, organisations, routerCount, reachableAddresses, send }: Options): Quotas => {
   const chosen = new Map<string, string>()
   const announced = new Map<string, string>()
   const avoidedUntilMs = new Map<string, number>()
   const openQueries = new Map<number, { readonly address: string, readonly settle: Settle }>()
-  /** Time until which an organisation's limit is known to be used up. */
+  /** Time until which an organisation's limit is known to be exhausted. */
   const usedUpUntilMs = new Map<string, number>()
   const localBuckets = new Map<string, TokenBucket>()
   let nextAskId = 1
@@ -86,7 +86,7 @@
     if (addresses.length > 0) localBuckets.clear()
   }
 
-  /** Tells agents which organisations they count for this router, where they have not been told so. */
+  /** Informs each agent which organisations it counts for this router, unless it has this information already. */
   const announceChosen = (): void => {
     for (const address of reachableAddresses()) {
       const names = [...chosen].filter(([, limiter]) => limiter === address).map(([name]) => name)
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Names the limiters anew where something that they depend on has changed. */
+  /** Chooses the limiters again if any input of the choice has changed. */
   const review = (): void => {
     const limited = organisations()?.all.filter(({ limit }) => limit !== undefined).map(({ name }) => name) ?? []
     if (limited.length === 0 && chosen.size === 0) return
@@ -129,8 +129,9 @@
     })
 
   /**
-   * Guards against routers that together let more than the limit through while none of them reaches a limiter: each has an equal part,
-   * which begins empty.
+   * Admits a request without a limiter. Each router has an equal share of the limit, in a bucket that starts empty.
+   *
+   * Guards against routers that together exceed the limit while none of them reaches a limiter.
    */
   const admitLocally = (name: string, limit: OrganisationLimit, units: number): Admission => {
     const part = shareOfLimit(limit, 1 / Math.max(1, routerCount()))
@@ -141,7 +142,7 @@
     return taking.isTaken ? ADMITTED : { isAdmitted: false, isOverLimit: false, retryAfterMs: taking.retryAfterMs }
   }
 
-  /** Until the request that was refused last fits, no other one does. */
+  /** No request is admitted before the time at which the last refused one would be. */
   const knownRefusal = (name: string): Admission | undefined => {
     const leftMs = (usedUpUntilMs.get(name) ?? -Infinity) - timers.nowMs()
     return leftMs > 0 ? { isAdmitted: false, isOverLimit: true, retryAfterMs: leftMs } : undefined
@@ -165,7 +166,7 @@
         usedUpUntilMs.set(name, timers.nowMs() + answer.waitMs)
         return { isAdmitted: false, isOverLimit: true, retryAfterMs: answer.waitMs }
       }
-      // It stands still, or does not know the organisation's limit.
+      // The limiter is paused, or does not have the organisation's limit.
       avoid(address, name)
     }
     return { isAdmitted: false, isOverLimit: false, retryAfterMs: NO_LIMITER_RETRY_MS }
--- a/packages/gateway/src/limits/createRouterCount.ts
+++ b/packages/gateway/src/limits/createRouterCount.ts
@@ -1,15 +1,15 @@
 import type { TimerService } from '@figmount/base'
 
-/** A router that is out of sight for longer than this is gone. */
+/** A router that was not seen for longer than this is gone. */
 const RETENTION_MS = 30_000
 
-/** The most routers that agents have told of lately. */
+/** The highest number of routers that agents have reported recently. */
 export interface RouterCount {
   readonly note: (count: number) => void
   readonly count: () => number
 }
 
-/** Makes the count of one router. One that is cut off counts on, as it has its part of all limits too. */
+/** Creates the count of one router. A router that is cut off still counts, as it still admits its share of all limits. */
 export const createRouterCount = (timers: TimerService): RouterCount => {
   let most = 1
   let seenMs = -Infinity
--- a/packages/gateway/src/limits/quotaStorm.test.ts
+++ b/packages/gateway/src/limits/quotaStorm.test.ts
@@ -13,7 +13,7 @@
 const LIMIT = { unit: 'tokens', unitsPerS: 29_000, burstUnits: 29_000, plainUnits: 200 } as const
 const ACME: Organisation = { name: 'acme', priority: undefined, limit: LIMIT }
 
-/** What the platform lets through beyond the limit in a window. */
+/** Units that may be admitted beyond the limit in a window. */
 const OVERAGE = 0.1
 const SLACK_UNITS = 110_000
 const WINDOW_MS = 8_000
@@ -21,19 +21,19 @@
 const ROUTER_COUNT = 12
 const AGENT_COUNT = 6
 const REQUEST_UNITS = [200, 1_100, 9_200, 9_200]
-/** The system starts before there are faults and questions. */
+/** Time for the system to start before the first faults and requests. */
 const CALM_MS = 5_000
-/** Time after which an end of a silent link notices. */
+/** Time after which one end of a silent link detects that it is broken. */
 const SILENCE_MS = 3_000
 
 type Random = () => number
 
 interface Agent {
   limiters: Limiters
-  /** Messages that wait while the agent stands still. */
+  /** Messages that are delayed while the agent is paused. */
   held: Array<() => void>
   isFrozen: boolean
-  /** When this life of its process began. */
+  /** Number of restarts of the agent's process. */
   life: number
 }
 
@@ -46,7 +46,7 @@
   limiters: createLimiters({ timers, limitOf: () => LIMIT, isFirstStart }), held: [], isFrozen: false, life
 })
 
-/** Routers and agents under a hot organisation, with agents that die, stand still or are cut off from some routers. */
+/** Routers and agents with one overloaded organisation; agents die, pause or are cut off from some routers. */
 const play = async (seed: number, faultPeriodMs: number, durationMs: number): Promise<readonly Passed[]> => {
   const random: Random = makeRandom(seed)
   const timers = createVirtualTimers()
@@ -113,7 +113,7 @@
     const agent = agents.get(address)
     for (let router = 0; router < ROUTER_COUNT; router++) {
       if (random() < 0.6) continue
-      // The router notices first, the agent up to a silence later.
+      // The router detects the cut first, the agent up to SILENCE_MS later.
       timers.after(random() * SILENCE_MS, () => { unlink(router, address) })
       timers.after(SILENCE_MS, () => { agent?.limiters.dropRouter(`r${router}`) })
       timers.after(SILENCE_MS + 1_000 + random() * 3_000, () => { links[router]?.add(address) })
@@ -126,14 +126,14 @@
     timers.every(faultPeriodMs, () => { (draw([kill, freeze, cut]) ?? kill)(draw(addresses) ?? '') })
   })
 
-  // Over four times the limit.
+  // Requests over four times the limit.
   const askOnce = async (): Promise<void> => {
     const units = draw(REQUEST_UNITS) ?? 0
     const admission = await routers[Math.floor(random() * ROUTER_COUNT)]?.admit(ACME, units, 30)
     if (admission?.isAdmitted) passed.push({ atMs: timers.nowMs(), units })
   }
   const asking: Array<Promise<void>> = []
-  // All questions are answered two seconds after the last one.
+  // No requests in the last two seconds, so that all are answered.
   for (let passedMs = 0; passedMs < durationMs; passedMs += 5) {
     timers.advance(5)
     if (passedMs >= CALM_MS && passedMs < durationMs - 2_000 && passedMs % 40 === 0) asking.push(askOnce())
@@ -158,14 +158,14 @@
 
 const ALLOWED_UNITS = (LIMIT.unitsPerS * WINDOW_MS / 1_000 + LIMIT.burstUnits) * (1 + OVERAGE) + SLACK_UNITS
 
-describe('a hot organisation at many routers', () => {
-  it('gets its limit and no more while nothing fails', async () => {
+describe('an organisation that exceeds its limit at many routers', () => {
+  it('gets exactly its limit without faults', async () => {
     const passed = await play(1, 1_000_000, 20_000)
     expect(mostInWindow(passed)).to.be.within(0.95 * LIMIT.unitsPerS * 8, LIMIT.unitsPerS * 8 + LIMIT.burstUnits + 20_000)
   })
 
-  it('never passes its limit, whichever agents die, stand still or are cut off', async () => {
-    // Guards against limiters that count the same part of a limit twice.
+  it('never exceeds its limit, whichever agents die, pause or are cut off', async () => {
+    // Guards against two limiters that both grant the same part of a limit.
     for (let seed = 1; seed <= 12; seed++) {
       const passed = await play(seed, 700, 25_000)
       expect(mostInWindow(passed), `seed ${seed}`).to.be.at.most(ALLOWED_UNITS)
--- a/packages/gateway/src/limits/takeQuota.ts
+++ b/packages/gateway/src/limits/takeQuota.ts
@@ -4,13 +4,13 @@
 import type { Organisation } from '@figmount/fleet'
 import type { GatewayContext, RoutedRequest } from '../requests/types.js'
 
-/** Time that a request may wait for units: the same for all, so that no kind of request passes another one. */
+/** Time for which a request may wait for units: the same for all, so that no kind of request overtakes another. */
 const MAX_WAIT_MS = 30
 
-/** Refused callers are spread over this part of their come-back time beyond it, so that they don't return all at once. */
+/** Jitter added to the retry-after, as a fraction of it, so that refused callers do not return all at once. */
 const SPREAD_SHARE = 0.25
 
-/** Counts a request against its organisation's limit; false when it was refused. */
+/** Counts a request against its organisation's limit; returns false if it was refused. */
 export const takeQuota = async (context: GatewayContext, request: RoutedRequest, organisation: Organisation): Promise<boolean> => {
   const admission = await context.quotas.admit(organisation, request.units, MAX_WAIT_MS)
   if (admission.isAdmitted) {
