--- a/packages/gateway/src/stopping/constants.ts
+++ b/packages/gateway/src/stopping/constants.ts
@@ -1,14 +1,14 @@
-/** After a stop was asked for, connections stay open this long: the balancer notices within two of its questions, a second apart. */
+/** After a stop was requested, connections are accepted for this long: the balancer notices within two of its checks, a second apart. */
 export const LAME_DUCK_MS = 3_000
 
-/** Time between two looks whether a stopping router is empty. */
+/** How often a stopping router checks whether it still has open requests. */
 export const DRAIN_CHECK_PERIOD_MS = 50
 
-/** The last part of the time that a stop may take is kept for its end. */
+/** The last part of the stop's time, reserved for the final answers and the end of the process. */
 export const DRAIN_MARGIN_MS = 400
 
-/** Part of that margin in which the final answers of open requests go out; a link carries one in a few ms. */
+/** Part of that margin in which the final answers of open requests are sent; a link delivers one in a few ms. */
 export const LAST_ANSWERS_MS = 200
 
-/** Least time that a request needs from its send to the end of its answer: with less left most streams would be broken off midway. */
+/** Minimum time from a request's send to the end of its answer: with less left, most streams would break off midway. */
 export const MIN_ANSWER_MS = 2_000
--- a/packages/gateway/src/stopping/createStop.ts
+++ b/packages/gateway/src/stopping/createStop.ts
@@ -14,7 +14,7 @@
   for (const listener of [...listeners]) listener()
 }
 
-/** Makes the stop of one router, which may take `stopMs` once it is asked for. */
+/** Creates the stop of one router, which may take `stopMs` from its request. */
 export const createStop = (timers: TimerService, stopMs: number): RouterStop => {
   const askedListeners: Listeners = new Set()
   const endListeners: Listeners = new Set()
@@ -30,8 +30,8 @@
     isClosing: () => timers.nowMs() >= closingMs(),
     isEnded: () => isEnded,
     lastSendMs: objectiveMs => endMs() - Math.max(MIN_ANSWER_MS, objectiveMs),
-    // Guards against a stream that is left half sent because its server went late in the stop: a request that has run
-    // cannot be refused any more, so it is tried elsewhere until the end, which would break it off no worse.
+    // Guards against a stream that stays incomplete because its server was lost late in the stop: a request that has run cannot be
+    // refused any more, so it is retried until the end, which would interrupt it no worse.
     lastRetryMs: endMs,
     onAsked: listener => listen(askedListeners, listener),
     onEnded: listener => listen(endListeners, listener),
--- a/packages/gateway/src/stopping/drain.ts
+++ b/packages/gateway/src/stopping/drain.ts
@@ -14,7 +14,7 @@
   readonly events: EventLog
 }
 
-/** Takes no new requests after a while and lets the open ones end; those that don't get their final answer at the stop's end. */
+/** Stops taking new requests after a while and lets open ones finish; those still open at the end of the stop get their final answer then. */
 export const drain = async ({ stop, ingress, timers, events }: Options): Promise<void> => {
   const waitUntilEmpty = async (waitMs: number): Promise<void> => {
     const untilMs = timers.nowMs() + waitMs
@@ -27,9 +27,8 @@
   stop.ask()
   ingress.endConnections()
   await sleep(timers, stop.closingInMs())
-  // Guards against requests that come in the last seconds, as callers of a data centre with one router have nowhere else to
-  // go: a stream taken then is cut when the process must end. New connections are turned away by the system and requests
-  // on open ones by a refusal; both are free to go elsewhere.
+  // Guards against requests in the last seconds, as callers in a data centre with one router have no other: a stream taken then would be cut
+  // when the process must end. The system rejects new connections, and requests on open ones are refused; both may be sent elsewhere.
   ingress.stopListening()
   ingress.closeIdle()
   await waitUntilEmpty(stop.endsInMs())
--- a/packages/gateway/src/stopping/limitWait.ts
+++ b/packages/gateway/src/stopping/limitWait.ts
@@ -4,19 +4,19 @@
 interface Options {
   readonly stop: Stop
   readonly timers: TimerService
-  /** Time after which what waits is not sent any more. */
+  /** Time after which the waiting request is not sent any more. */
   readonly lastSendMs: () => number
-  /** When what is waited for is expected. */
+  /** Time at which the wait is expected to end. */
   readonly readyAtMs: number
   readonly giveUp: () => void
 }
 
 /**
- * Ends a wait that a stop leaves no time for.
+ * Ends a wait for which a stop leaves no time.
  *
- * Guards against a request whose wait outlasts its router: the end of the stop closed its connection without an answer,
- * though "not run" was true. A wait that is expected to outlast the stop ends as soon as the stop is asked for, so that
- * its caller has the most time left elsewhere; one that turns out to do so ends with the last time to send.
+ * Guards against a request that waits longer than its router lives: the end of the stop closed its connection without an answer, although
+ * it could have been refused as not run. A wait that is expected to outlast the stop ends as soon as the stop is requested, so that its
+ * caller has the most time left for another router; one that turns out to be too long ends at the last time to send.
  */
 export const limitWait = ({ stop, timers, lastSendMs, readyAtMs, giveUp }: Options): Unsubscribe => {
   let cancelTimer: Unsubscribe = () => {}
--- a/packages/gateway/src/stopping/stopping.test.ts
+++ b/packages/gateway/src/stopping/stopping.test.ts
@@ -9,7 +9,7 @@
 const OBJECTIVE_MS = 500
 const LAST_SEND_MS = STOP_MS - DRAIN_MARGIN_MS - MIN_ANSWER_MS
 
-/** A wait for something that is expected after `readyAtMs`; `gaveUpMs` tells when it was given up. */
+/** A wait that is expected to end after `readyAtMs`; `gaveUpMs` returns when it was given up. */
 const setUp = (readyAtMs: number) => {
   const timers = createVirtualTimers()
   const stop = createStop(timers, STOP_MS)
@@ -19,13 +19,13 @@
 }
 
 describe('a stop', () => {
-  it('limits nothing before it is asked for', () => {
+  it('limits nothing before it is requested', () => {
     const stop = createStop(createVirtualTimers(), STOP_MS)
     expect(stop.lastSendMs(OBJECTIVE_MS)).to.equal(Infinity)
     expect(stop.isClosing()).to.equal(false)
   })
 
-  it('takes requests until the balancer has noticed', () => {
+  it('lets the router take requests until the balancer has noticed', () => {
     const timers = createVirtualTimers()
     const stop = createStop(timers, STOP_MS)
     stop.ask()
@@ -35,7 +35,7 @@
     expect(stop.isClosing()).to.equal(true)
   })
 
-  it('keeps its end when it is asked for twice', () => {
+  it('keeps its end when it is requested twice', () => {
     const timers = createVirtualTimers()
     const stop = createStop(timers, STOP_MS)
     stop.ask()
@@ -44,14 +44,14 @@
     expect(stop.endsInMs()).to.equal(STOP_MS - DRAIN_MARGIN_MS - 1_000)
   })
 
-  it('leaves a slow kind of request more time for its answer', () => {
+  it('reserves more time for requests with a longer objective', () => {
     const stop = createStop(createVirtualTimers(), STOP_MS)
     stop.ask()
     expect(stop.lastSendMs(OBJECTIVE_MS)).to.equal(LAST_SEND_MS)
     expect(stop.lastSendMs(MIN_ANSWER_MS + 500)).to.equal(LAST_SEND_MS - 500)
   })
 
-  it('lets what has run go on elsewhere until the end', () => {
+  it('allows retries of requests that have run until the end', () => {
     const stop = createStop(createVirtualTimers(), STOP_MS)
     expect(stop.lastRetryMs()).to.equal(Infinity)
     stop.ask()
@@ -60,20 +60,20 @@
 })
 
 describe('a wait at a router that stops', () => {
-  it('goes on while nobody asks for a stop', () => {
+  it('continues while no stop is requested', () => {
     const { timers, gaveUpMs } = setUp(60_000)
     timers.advance(60_000)
     expect(gaveUpMs()).to.equal(undefined)
   })
 
-  it('ends at once when what it waits for comes too late', () => {
+  it('ends at once if it is expected to outlast the stop', () => {
     const { timers, stop, gaveUpMs } = setUp(9_000)
     timers.advance(1_000)
     stop.ask()
     expect(gaveUpMs()).to.equal(1_000)
   })
 
-  it('ends with the last time to send when what it waits for is late', () => {
+  it('ends at the last time to send if it takes longer than expected', () => {
     const { timers, stop, gaveUpMs } = setUp(2_000)
     stop.ask()
     timers.advance(LAST_SEND_MS - 1)
@@ -82,7 +82,7 @@
     expect(gaveUpMs()).to.equal(LAST_SEND_MS)
   })
 
-  it('is limited also when it begins in a stop', () => {
+  it('is also limited if it begins during a stop', () => {
     const timers = createVirtualTimers()
     const stop = createStop(timers, STOP_MS)
     stop.ask()
--- a/packages/gateway/src/stopping/types.ts
+++ b/packages/gateway/src/stopping/types.ts
@@ -1,28 +1,28 @@
 import type { Unsubscribe } from '@figmount/base'
 
-/** How far a router's stop has come. */
+/** Progress of a router's stop. */
 export interface Stop {
   readonly isAsked: () => boolean
-  /** No new requests are taken any more. */
+  /** The router takes no new requests any more. */
   readonly isClosing: () => boolean
-  /** Time after which a request with this objective is not sent to a server any more; Infinity while no stop was asked for. */
+  /** Time after which a request with this objective is not sent to a server any more; Infinity until a stop is requested. */
   readonly lastSendMs: (objectiveMs: number) => number
-  /** The same for one that has run already: to give it up early saves its caller nothing. */
+  /** The same for a request that has run already: failing it earlier would not help its caller. */
   readonly lastRetryMs: () => number
-  /** The end has come: requests that are still open get their final answer. */
+  /** The stop has ended: requests that are still open get their final answer. */
   readonly isEnded: () => boolean
-  /** Calls back when a stop is asked for. */
+  /** Calls back when a stop is requested. */
   readonly onAsked: (listener: () => void) => Unsubscribe
-  /** Calls back at the stop's end. */
+  /** Calls back at the end of the stop. */
   readonly onEnded: (listener: () => void) => Unsubscribe
 }
 
-/** The same for the router itself, which makes the stop go on. */
+/** The router's own view of its stop, which also controls it. */
 export interface RouterStop extends Stop {
   readonly ask: () => void
-  /** Time until no new requests are taken. */
+  /** Time until the router takes no new requests. */
   readonly closingInMs: () => number
-  /** Time until the stop's end. */
+  /** Time until the end of the stop. */
   readonly endsInMs: () => number
   readonly end: () => void
 }
