--- a/packages/gateway/src/agents/constants.ts
+++ b/packages/gateway/src/agents/constants.ts
@@ -1,26 +1,26 @@
-/** First pause before a link that broke is opened again; it doubles up to `LAST_REDIAL_MS`. */
+/** Delay before a broken link is opened again; it doubles up to `MAX_RECONNECT_DELAY_MS`. */
 export const MIN_RECONNECT_DELAY_MS = 200
 
-/** Longest pause between tries to reach an agent that does not answer: a restarted one is heard of within a second. */
+/** Longest delay between attempts to connect to an agent: the link to a restarted agent is open within a second. */
 export const MAX_RECONNECT_DELAY_MS = 1_000
 
-/** An agent whose server is no longer listed is given up after this time: lists lapse for seconds at times. */
+/** The link to an agent is closed when its server was not listed for this long: entries may be missing for seconds. */
 export const UNLISTED_TIMEOUT_MS = 10_000
 
 /**
- * Share of the agents that have told a starting router their engines' state before it calls itself ready. With half of them,
- * or with links that are open and have told nothing yet, two routers chose two engines for one burst and loaded a model twice.
+ * Share of the agents that must have sent their engines' state before a starting router reports ready. With half of them, or with open
+ * links over which no state had arrived yet, two routers chose two engines for one burst and loaded a model twice.
  */
 export const READY_AGENT_SHARE = 0.9
 
 /**
- * An agent that was silent for this long has stood still or was cut off: what it passes on then may have waited there. Heartbeats
- * come up to one and a half of their period apart.
+ * An agent that sent nothing for this long was paused or cut off, so messages that it relays then may have been delayed there. Heartbeats
+ * arrive up to one and a half of their period apart.
  */
 export const DELAYED_AFTER_MS = 1_750
 
-/** Time after such a silence in which what was held up comes out. */
+/** Time after such a silence in which delayed messages arrive. */
 export const STALE_DELIVERY_MS = 300
 
-/** Agents through which a router passes on what it has read: two, in case one is down. */
+/** Agents through which a router relays what it has read: two, in case one is down. */
 export const RELAY_COUNT = 2
--- a/packages/gateway/src/agents/createAgentLink.ts
+++ b/packages/gateway/src/agents/createAgentLink.ts
@@ -11,7 +11,7 @@
 type OpenLink = Link<RouterMessage, AgentMessage>
 
 interface Options {
-  /** Address of the engine that the agent acts on. */
+  /** Address of the engine that the agent controls. */
   readonly serverAddress: string
   readonly agentAddress: string
   readonly context: LinkContext
@@ -52,8 +52,8 @@
 
   const openWant = ({ adapterName, ...rest }: WantRequest): OpenWant => {
     const wantId = nextWantId++
-    // The agent settles each want within its time. This covers one that falls silent: the want's time is the caller's
-    // patience less what it needs to hear of the end, so nothing may be added to it.
+    // The agent settles each want within `timeLeftMs`. This timer covers an agent that stops answering. `timeLeftMs` is the caller's
+    // patience less the time to answer it, so nothing may be added to it.
     const stopTimer = timers.after(rest.timeLeftMs, () => settle(wantId, { isReady: false, isLost: false, reason: 'not in time' }))
     const outcome = new Promise<WantOutcome>(resolve => {
       wants.set(wantId, end => {
@@ -124,7 +124,7 @@
     }
   }
 
-  // Demand goes out twice a second while there is any: a heartbeat beside it would be a third of all messages to agents.
+  // Demand is sent twice a second while there is any: with heartbeats besides, a third of all messages to agents would be heartbeats.
   const stopHeartbeat = timers.every(HEARTBEAT_MS / 2, () => {
     if (timers.nowMs() - lastSentMs >= HEARTBEAT_MS) send({ type: 'heartbeat' })
   })
--- a/packages/gateway/src/agents/createAgentLinks.test.ts
+++ b/packages/gateway/src/agents/createAgentLinks.test.ts
@@ -13,7 +13,7 @@
 import type { AgentMessage, ListRead, RouterMessage, ServerEntry } from '@figmount/fleet'
 import type { Link } from '@figmount/peers'
 
-/** Nobody listens there. */
+/** No program listens on this port. */
 const ADDRESS = '127.0.0.1:1'
 
 const ENTRY: ServerEntry =
@@ -45,7 +45,7 @@
   return { timers, links, lost }
 }
 
-/** A router's link to an agent of its own, which answers nothing; `tell` sends a router the agent's state, `passOn` a read of the list. */
+/** A router's link to a test agent, which answers nothing; `tell` sends the agent's state to the router, `passOn` a read of the list. */
 const setUpAgent = async () => {
   const server = createServer()
   const timers = createTimerService()
@@ -79,8 +79,8 @@
 }
 
 describe('links to agents', () => {
-  it('are not reached before the first one is known', () => {
-    // Guards against a router that is ready before it can ask any agent.
+  it('are not ready while no agent is known', () => {
+    // Guards against a router that reports ready before it can reach any agent.
     const { links } = setUp()
     expect(links.isReady()).to.equal(false)
     links.follow([ENTRY], () => true)
@@ -88,8 +88,8 @@
     links.close()
   })
 
-  it('are reached only once the agent has told its state', async () => {
-    // Guards against a second load by a router that knows half of the engines.
+  it('are ready only once the agent has sent its state', async () => {
+    // Guards against loading a model twice, by a router that has the state of only half of the engines.
     const { links, heard, tell, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.send({ type: 'heartbeat' }) ?? false)
     expect(links.isReady()).to.equal(false)
@@ -101,8 +101,8 @@
     close()
   })
 
-  it('tell that a read may be old which an agent passes on after a silence', async () => {
-    // Guards against an agent that stood still and passes on what waited in it as if it were new.
+  it('mark a read as possibly stale if an agent relays it after a silence', async () => {
+    // Guards against a paused agent whose delayed messages would be taken for new ones.
     const { timers, links, tell, passOn, readsMayBeOld, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.isOpen() ?? false)
     const stopTelling = timers.every(100, tell)
@@ -118,8 +118,8 @@
     expect(readsMayBeOld).to.deep.equal([false, true])
   })
 
-  it('end a want in its time when the agent falls silent', async () => {
-    // Guards against callers who have left when their wait ends.
+  it('end a want in time when the agent stops answering', async () => {
+    // Guards against waits that end after their callers have left.
     const { timers, links, heard, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.isOpen() ?? false)
     const askedMs = timers.nowMs()
@@ -130,8 +130,8 @@
     close()
   })
 
-  it('carry heartbeats only where nothing else is sent', async () => {
-    // Guards against heartbeats beside other messages, and against links that are given up for want of one.
+  it('carry heartbeats only when no other message is sent', async () => {
+    // Guards against heartbeats in addition to other messages, and against links that are closed for lack of one.
     const { links, heard, close } = await setUpAgent()
     const demand: RouterMessage = { type: 'demand', models: [], replicas: [] }
     await until(() => links.find(ADDRESS)?.send(demand) ?? false)
@@ -145,7 +145,7 @@
     close()
   })
 
-  it('are given up when their server was not listed for long', () => {
+  it('are closed when their server was not listed for a while', () => {
     const { timers, links, lost } = setUp()
     links.follow([ENTRY], () => true)
     timers.advance(9_000)
--- a/packages/gateway/src/agents/createAgentLinks.ts
+++ b/packages/gateway/src/agents/createAgentLinks.ts
@@ -14,23 +14,23 @@
   readonly handlers: AgentHandlers
 }
 
-/** Links to the agents of all engines that are listed. */
+/** Links to the agents of all listed engines. */
 export interface AgentLinks {
-  /** Opens links to new servers' agents and gives up those of servers that were not listed for long. */
+  /** Opens links to the agents of new servers and closes those of servers that were not listed for a while. */
   readonly follow: (entries: readonly ServerEntry[], hasAgent: (entry: ServerEntry) => boolean) => void
   readonly find: (serverAddress: string) => AgentLink | undefined
-  /** Sends each agent that answers a message, if there is one for it; a link is new until the first of them. */
+  /** Sends each connected agent its message, if there is one; `isNewLink` is true for the first call after a link was opened. */
   readonly sendToEach: (messageFor: (serverAddress: string, isNewLink: boolean) => RouterMessage | undefined) => void
-  /** Sends through a few agents, which pass it on to all other routers. */
+  /** Sends a message to a few agents, which pass it on to all other routers. */
   readonly relay: (message: RouterMessage) => void
-  /** Engine addresses of the agents that answer. */
+  /** Engine addresses of the agents whose links are open. */
   readonly openAddresses: () => readonly string[]
-  /** Nearly all agents have told their engines' state; false before the first one is known. */
+  /** Nearly all agents have sent their engines' state; false while no agent is known. */
   readonly isReady: () => boolean
   readonly close: () => void
 }
 
-/** Makes the links of one router. */
+/** Creates the links of one router. */
 export const createAgentLinks = ({ agentPort, context, handlers }: Options): AgentLinks => {
   const links = new Map<string, AgentLink>()
   const listedMs = new Map<string, number>()
@@ -61,7 +61,7 @@
     },
     find: serverAddress => links.get(serverAddress),
     sendToEach: messageFor => {
-      // Most agents hear the same: it is packed once.
+      // Most agents get the same message: it is packed once.
       const packed = new Map<RouterMessage, PackedMessage<RouterMessage>>()
       for (const [serverAddress, link] of links) {
         if (!link.isOpen()) continue
--- a/packages/gateway/src/agents/types.ts
+++ b/packages/gateway/src/agents/types.ts
@@ -1,47 +1,47 @@
 import type { PackedMessage } from '@figmount/peers'
 import type { AgentLoad, AgentState, Crash, ListRead, Relay, RouterMessage, UnitsAnswered } from '@figmount/fleet'
 
-/** What became of a want. */
+/** The outcome of a want. */
 export interface WantOutcome {
   readonly isReady: boolean
-  /** The engine or its agent went away. */
+  /** The engine or its agent went down. */
   readonly isLost: boolean
   readonly reason: string
 }
 
-/** What a router wants of an agent. */
+/** A model or an adapter that a router wants an agent to load. */
 export interface WantRequest {
   readonly serverId: string
   readonly modelName: string
   readonly adapterName: string
   readonly waitingCount: number
-  /** Requests of the next seconds that are late without it, beside those that wait. */
+  /** Requests of the next seconds that would be late without it, besides those that wait. */
   readonly lateCount: number
-  /** Time for which callers have asked for it in vain. */
+  /** Time for which requests for the model were not served. */
   readonly unmetForMs?: number
   readonly timeLeftMs: number
 }
 
-/** A want that an agent was told of. */
+/** A want that was sent to an agent. */
 export interface OpenWant {
   readonly outcome: Promise<WantOutcome>
-  /** Takes it back: nobody waits for it any more. */
+  /** Withdraws the want: no request waits for it any more. */
   readonly drop: (reason: string) => void
 }
 
-/** Where an agent's messages go. */
+/** Receivers of an agent's messages. */
 export interface AgentHandlers {
   readonly takeState: (address: string, state: AgentState) => void
   readonly takeLoad: (address: string, load: AgentLoad) => void
   readonly takeRelay: (relay: Relay) => void
-  /** `mayBeOld`: it may have been held up on its way for longer than it says. */
+  /** `mayBeStale`: the message may have been delayed for longer than the age it states. */
   readonly takeListRead: (read: ListRead, mayBeStale: boolean) => void
   readonly takeCrash: (crash: Crash) => void
   readonly takeUnits: (address: string, answer: UnitsAnswered) => void
   readonly lost: (address: string) => void
 }
 
-/** A link to one agent that is opened again whenever it breaks. */
+/** A link to one agent that is reopened whenever it breaks. */
 export interface AgentLink {
   readonly want: (request: WantRequest) => OpenWant
   readonly send: (message: RouterMessage) => boolean
@@ -49,7 +49,7 @@
   readonly isOpen: () => boolean
   /** True at the first call after each opening of the link. */
   readonly takeIsNew: () => boolean
-  /** The agent has told its engine's state since the link was opened. */
+  /** The agent has sent its engine's state since the link was opened. */
   readonly hasState: () => boolean
   readonly close: () => void
 }
