--- a/packages/gateway/src/demand/createDemandMeter.ts
+++ b/packages/gateway/src/demand/createDemandMeter.ts
@@ -3,7 +3,7 @@
 import type { TimerService } from '@figmount/base'
 import type { ModelDemand } from '@figmount/fleet'
 
-/** Models with less than this many requests a second have no demand to tell of. */
+/** Models below this request rate are reported as having no demand. */
 const MIN_REQUESTS_PER_S = 0.01
 
 const MS_PER_S = 1_000
@@ -17,7 +17,7 @@
   readonly isNew: boolean
 }
 
-/** A model's demand and whether it was asked for since the last read. */
+/** A model's demand, and whether it was requested since the last read. */
 export interface MeteredModel {
   readonly demand: ModelDemand
   readonly isNew: boolean
@@ -26,9 +26,9 @@
 /** Demand by model as one router sees it. */
 export interface DemandMeter {
   readonly note: (modelName: string, adapterName: string, promptTokens: number) => void
-  /** Requests a second for a model. */
+  /** Requests per second for a model. */
   readonly requestsPerS: (modelName: string) => number
-  /** Demand now, and the adapters asked for since the last read. */
+  /** Current demand, with the adapters that were requested since the last read. */
   readonly read: () => readonly MeteredModel[]
 }
 
@@ -37,7 +37,7 @@
   return { ...meter, requests: meter.requests * factor, promptTokens: meter.promptTokens * factor, asOfMs: nowMs }
 }
 
-/** Makes the meter of one router. */
+/** Creates the meter of one router. */
 export const createDemandMeter = (timers: TimerService): DemandMeter => {
   const meters = new Map<string, ModelMeter>()
 
--- a/packages/gateway/src/demand/createUnmetModels.test.ts
+++ b/packages/gateway/src/demand/createUnmetModels.test.ts
@@ -3,8 +3,8 @@
 
 import { createUnmetModels } from './createUnmetModels.js'
 
-describe('a model that is asked for in vain', () => {
-  it('is remembered over one caller after another', () => {
+describe('a model whose requests are not served', () => {
+  it('is counted across successive callers', () => {
     const timers = createVirtualTimers()
     const unmet = createUnmetModels(timers)
     expect(unmet.note('m')).to.equal(0)
@@ -15,7 +15,7 @@
     expect(unmet.note('other')).to.equal(0)
   })
 
-  it('counts anew once it was served', () => {
+  it('is counted from zero after it was served', () => {
     const timers = createVirtualTimers()
     const unmet = createUnmetModels(timers)
     unmet.note('m')
@@ -24,7 +24,7 @@
     expect(unmet.note('m')).to.equal(0)
   })
 
-  it('counts anew when nobody came back', () => {
+  it('is counted from zero if no caller has returned for a while', () => {
     const timers = createVirtualTimers()
     const unmet = createUnmetModels(timers)
     unmet.note('m')
--- a/packages/gateway/src/demand/createUnmetModels.ts
+++ b/packages/gateway/src/demand/createUnmetModels.ts
@@ -1,6 +1,6 @@
 import type { TimerService } from '@figmount/base'
 
-/** Callers come back within a third of the time that they have left, five seconds at most; one that is silent longer has given up. */
+/** Callers retry within a third of the time they have left, five seconds at most; one that pauses longer has given up. */
 const FORGET_MS = 10_000
 
 interface Unmet {
@@ -8,20 +8,20 @@
   readonly lastMs: number
 }
 
-/** Models that a router's callers ask for again and again without being served. */
+/** Models whose requests are repeatedly refused because no engine holds them. */
 export interface UnmetModels {
-  /** Notes that a request finds no engine with the model; the time for which requests have found none. */
+  /** Notes that a request found no engine with the model; returns for how long requests have found none. */
   readonly note: (modelName: string) => number
   /** An engine holds the model. */
   readonly settle: (modelName: string) => void
 }
 
 /**
- * Remembers for how long a model has been asked for in vain.
+ * Records for how long the requests for a model have not been served.
  *
- * Load pattern: callers of a rare model who each wait a second and a half and are refused. What a wait may cost others grows
- * with its time; counted anew for each caller it never reached what the busy models of an engine cost, and the model was asked
- * for over eight seconds without being loaded once.
+ * Load pattern: callers of a rare model who each wait a second and a half and are refused. The eviction cost allowed for a load grows with
+ * the waiting time. Counted from zero for each caller, it never reached the cost of evicting an engine's busy models: the model was
+ * requested for over eight seconds without being loaded once.
  */
 export const createUnmetModels = (timers: TimerService): UnmetModels => {
   const unmetModels = new Map<string, Unmet>()
--- a/packages/gateway/src/ingress/onceClosed.ts
+++ b/packages/gateway/src/ingress/onceClosed.ts
@@ -1,15 +1,15 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 
 /**
- * Calls back once a request is over: its answer was given, or its connection is gone.
+ * Calls back once a request is over: its answer was sent, or its connection is closed.
  *
- * Guards against a caller that sends a second request before it has the first answer and leaves: Node never tells the
- * second response of it, which has not had the connection yet. The request counted as open for ever, and was served on.
+ * Guards against a caller that pipelines a second request and leaves before the first answer: Node emits no close event on the second
+ * response, which was not assigned the connection yet. The request stayed counted as open and was still served.
  */
 export const onceClosed = ({ socket }: IncomingMessage, response: ServerResponse, closed: () => void): void => {
   let isClosed = false
   const close = (): void => {
-    // One end of a connection tells both.
+    // The end of a connection may trigger both events.
     if (isClosed) return
     isClosed = true
     response.off('close', close)
--- a/packages/gateway/src/ingress/readBody.ts
+++ b/packages/gateway/src/ingress/readBody.ts
@@ -6,10 +6,10 @@
   | { readonly type: 'whole', readonly body: Buffer }
   | { readonly type: 'tooLarge' }
   | { readonly type: 'brokenOff' }
-  /** The router's stop came to its end before the body did. */
+  /** The router's stop ended before the body did. */
   | { readonly type: 'stopped' }
 
-/** Reads a request's body up to a bound, until the stop's end: an answer that is sent sooner meets bytes on their way, and may be lost. */
+/** Reads a request's body up to a limit, until the end of the stop: an earlier answer would meet bytes still in transit and may be lost. */
 export const readBody = async (message: IncomingMessage, maxBytes: number, stop: Stop): Promise<BodyRead> =>
   await new Promise(resolve => {
     const chunks: Buffer[] = []
--- a/packages/gateway/src/ingress/serveReadiness.ts
+++ b/packages/gateway/src/ingress/serveReadiness.ts
@@ -5,7 +5,7 @@
 const READY = 200
 const NOT_READY = 503
 
-/** Answers the balancer's question whether new connections may come; any path will do. */
+/** Answers the balancer's readiness checks, on any path: whether new connections may be opened. */
 export const serveReadiness = async (address: string, isReady: () => boolean): Promise<() => void> => {
   const server = createServer((_message, response) => {
     response.writeHead(isReady() ? READY : NOT_READY, { 'content-length': 0 })
--- a/packages/gateway/src/ingress/startIngress.test.ts
+++ b/packages/gateway/src/ingress/startIngress.test.ts
@@ -31,9 +31,9 @@
   return { ingress, socket, failures }
 }
 
-describe('the server that callers reach', () => {
-  it('answers a request whose handling fails', async () => {
-    // Guards against a closed connection that tells its caller nothing.
+describe('ingress', () => {
+  it('answers a request whose handler fails', async () => {
+    // Guards against closing the connection without an answer.
     const { ingress, socket, failures } = await setUp(async () => { throw new Error('unforeseen') })
     socket.write(REQUEST)
     const [bytes] = await once(socket, 'data')
@@ -43,7 +43,7 @@
     ingress.close()
   })
 
-  it('counts no request whose connection is gone', async () => {
+  it('counts no request whose connection is closed', async () => {
     // Guards against stops that wait for a request whose caller has left.
     let takenCount = 0
     const { ingress, socket } = await setUp(async () => { takenCount += 1 })
@@ -57,8 +57,8 @@
     ingress.close()
   })
 
-  it('takes no request behind an answer that says it closes the connection', async () => {
-    // Guards against a request that is run and can never be answered.
+  it('takes no request after an answer that announced the end of its connection', async () => {
+    // Guards against running a request that can never be answered.
     let takenCount = 0
     const { ingress, socket } = await setUp(async (_message, response) => {
       takenCount += 1
@@ -75,8 +75,8 @@
     ingress.close()
   })
 
-  it('takes a request behind an answer that had begun before connections are to end', async () => {
-    // The caller of a stream was told that it keeps its connection, and sends the next request on it in the middle of a stop.
+  it('takes a request after an answer that had begun before connections were to end', async () => {
+    // The answer's head promised the caller of a stream a keep-alive connection, so it sends its next request on it during a stop.
     let takenCount = 0
     const { ingress, socket } = await setUp(async (_message, response) => {
       takenCount += 1
--- a/packages/gateway/src/ingress/startIngress.ts
+++ b/packages/gateway/src/ingress/startIngress.ts
@@ -7,21 +7,21 @@
 import type { Socket } from 'node:net'
 import type { CallerLimits } from '@figmount/fleet'
 
-/** The server that callers reach. */
+/** The HTTP server for callers. */
 export interface Ingress {
-  /** Takes over the limits of a newer deployment. */
+  /** Applies the limits of a newer deployment. */
   readonly limit: (limits: CallerLimits) => void
-  /** Has each connection closed behind its last answer from now on, and callers told of it. */
+  /** From now on closes each connection after its last answer, and announces this to callers. */
   readonly endConnections: () => void
-  /** Takes no new connection from now on. */
+  /** Accepts no new connections from now on. */
   readonly stopListening: () => void
-  /** Closes connections on which no request is under way. */
+  /** Closes connections without an open request. */
   readonly closeIdle: () => void
   readonly openCount: () => number
   readonly close: () => void
 }
 
-/** Listens at `host:port`; resolves when it does. */
+/** Listens on `host:port`; resolves once it does. */
 export const listen = async (server: Server, address: string): Promise<void> => {
   const [host = '', port = ''] = address.split(':')
   await new Promise<void>((resolve, reject) => {
@@ -30,17 +30,17 @@
   })
 }
 
-/** Promises nothing: a request whose handling failed may have run. */
+/** Does not promise that the request has not run: one whose handler failed may have. */
 const BAD_GATEWAY = 502
 
 /** The newest request of a connection. */
 interface LatestRequest {
   readonly response: ServerResponse
-  /** The caller keeps the connection. */
+  /** The connection is keep-alive by the caller's request. */
   readonly isKept: boolean
 }
 
-/** Starts to take requests. */
+/** Starts to accept requests. */
 export const startIngress = async (
   address: string, take: (message: IncomingMessage, response: ServerResponse) => Promise<void>, onError: (error: Error) => void
 ): Promise<Ingress> => {
@@ -49,8 +49,9 @@
   const sockets = new Map<Socket, LatestRequest | undefined>()
 
   /**
-   * Guards against a caller that sends a request before it has the answer to the one before: an answer that closes the
-   * connection takes the later request with it, though that may run. Only the last answer closes it.
+   * Closes a connection only after the answer to its newest request.
+   *
+   * Guards against a caller that pipelines requests: an answer that closes the connection would drop the later request, which may run.
    */
   const closeAfterLatest = (socket: Socket, latest: LatestRequest): void => {
     const before = sockets.get(socket)
@@ -59,8 +60,8 @@
   }
 
   /**
-   * The caller was told that the connection ends with the answer before. HTTP has later requests on it left alone: they would
-   * run for an answer that cannot be given.
+   * The previous answer announced the end of the connection. HTTP requires that later requests on it are ignored: they would run without
+   * a way to answer them.
    */
   const isAfterClose = (socket: Socket): boolean => {
     const before = sockets.get(socket)?.response
--- a/packages/gateway/src/ingress/takeRequest.ts
+++ b/packages/gateway/src/ingress/takeRequest.ts
@@ -32,7 +32,7 @@
   response.end()
 }
 
-/** Refuses a request before its route is looked for. */
+/** Refuses a request before it is matched to a route. */
 const refuseUnrouted = (context: GatewayContext, response: ServerResponse, requestId: string, reason: string, retryAfterMs: number): void => {
   context.metrics.count('requests_refused_total')
   context.events.emit(GatewayEvent.requestRefused, { requestKey: requestId, reason, retryAfterMs })
@@ -41,7 +41,7 @@
   response.end()
 }
 
-/** The configuration in force names no holder of the caller's key. The key itself is not told. */
+/** Rejects a request whose key belongs to no organisation of the configuration in force. The key itself is not logged. */
 const refuseKey = (context: GatewayContext, response: ServerResponse, caller: CallerRequest, route: Route): void => {
   context.metrics.count('requests_unauthorized_total')
   context.events.emit(GatewayEvent.keyUnknown, { requestKey: caller.requestId, item: route.name, reason: caller.keyDigest === '' ? 'no key' : 'unknown key' })
