--- a/packages/gateway/src/testing/makeAgentState.ts
+++ b/packages/gateway/src/testing/makeAgentState.ts
@@ -1,6 +1,6 @@
 import type { AgentState } from '@figmount/fleet'
 
-/** An agent's word on an engine that holds and does nothing, for tests. */
+/** An agent's state for an idle engine without models, for tests. */
 export const makeAgentState = (serverId: string, given: Partial<AgentState> = {}): AgentState => ({
   type: 'state',
   serverId,
