--- a/packages/gateway/src/agents/createAgentLinks.test.ts
+++ b/packages/gateway/src/agents/createAgentLinks.test.ts
@@ -51,25 +51,25 @@
   const timers = createTimerService()
   const instance = 'a' as InstanceName
   const context = { instance, sharedKey: 'key', timers, events: createEventLog({ instance, role: 'agent', timers }), offset: () => NO_OFFSET, onPeerOffset: () => {} }
-  const heard: string[] = []
+  const receivedTypes: string[] = []
   const toRouters: Array<Link<AgentMessage, RouterMessage>> = []
   acceptLinks<AgentMessage, RouterMessage>(server, context, async link => {
     toRouters.push(link)
-    for await (const message of link.received) heard.push(message.type)
+    for await (const message of link.received) receivedTypes.push(message.type)
   })
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
   const { port } = server.address() as AddressInfo
-  const readsMayBeOld: boolean[] = []
-  const handlers = { ...NO_HANDLERS, takeListRead: (_read: ListRead, mayBeOld: boolean): void => { readsMayBeOld.push(mayBeOld) } }
+  const staleFlags: boolean[] = []
+  const handlers = { ...NO_HANDLERS, takeListRead: (_read: ListRead, mayBeStale: boolean): void => { staleFlags.push(mayBeStale) } }
   const links = createAgentLinks({ agentPort: port, context, handlers })
   links.follow([ENTRY], () => true)
   return {
     timers,
     links,
-    heard,
+    receivedTypes,
     tell: () => { for (const link of toRouters) link.send(makeAgentState('a')) },
     passOn: () => { for (const link of toRouters) link.send({ type: 'listRead', fromOffset: 0, toOffset: 1, records: [], ageMs: 0, settlingMs: 0 }) },
-    readsMayBeOld,
+    staleFlags,
     close: () => {
       links.close()
       server.close()
@@ -90,58 +90,58 @@
 
   it('are ready only once the agent has sent its state', async () => {
     // Guards against loading a model twice, by a router that has the state of only half of the engines.
-    const { links, heard, tell, close } = await setUpAgent()
+    const { links, receivedTypes, tell, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.send({ type: 'heartbeat' }) ?? false)
     expect(links.isReady()).to.equal(false)
     await until(() => {
       tell()
       return links.isReady()
     })
-    for (const type of heard) expect(type).to.equal('heartbeat')
+    for (const type of receivedTypes) expect(type).to.equal('heartbeat')
     close()
   })
 
   it('mark a read as possibly stale if an agent relays it after a silence', async () => {
     // Guards against a paused agent whose delayed messages would be taken for new ones.
-    const { timers, links, tell, passOn, readsMayBeOld, close } = await setUpAgent()
+    const { timers, links, tell, passOn, staleFlags, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.isOpen() ?? false)
     const stopTelling = timers.every(100, tell)
     await wait(STALE_DELIVERY_MS + 300)
     passOn()
-    await until(() => readsMayBeOld.length === 1)
+    await until(() => staleFlags.length === 1)
     stopTelling()
     await wait(DELAYED_AFTER_MS + 100)
     tell()
     passOn()
-    await until(() => readsMayBeOld.length === 2)
+    await until(() => staleFlags.length === 2)
     close()
-    expect(readsMayBeOld).to.deep.equal([false, true])
+    expect(staleFlags).to.deep.equal([false, true])
   })
 
   it('end a want in time when the agent stops answering', async () => {
     // Guards against waits that end after their callers have left.
-    const { timers, links, heard, close } = await setUpAgent()
+    const { timers, links, receivedTypes, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.isOpen() ?? false)
     const askedMs = timers.nowMs()
     const want = links.find(ADDRESS)?.want({ serverId: 'a', modelName: 'm', adapterName: '', waitingCount: 1, lateCount: 0, timeLeftMs: 100 })
     expect(await want?.outcome).to.deep.include({ isReady: false, isLost: false })
     expect(timers.nowMs() - askedMs).to.be.within(90, 600)
-    for (const type of heard) expect(type).to.be.oneOf(['heartbeat', 'want'])
+    for (const type of receivedTypes) expect(type).to.be.oneOf(['heartbeat', 'want'])
     close()
   })
 
   it('carry heartbeats only when no other message is sent', async () => {
     // Guards against heartbeats in addition to other messages, and against links that are closed for lack of one.
-    const { links, heard, close } = await setUpAgent()
+    const { links, receivedTypes, close } = await setUpAgent()
     const demand: RouterMessage = { type: 'demand', models: [], replicas: [] }
     await until(() => links.find(ADDRESS)?.send(demand) ?? false)
     for (let count = 0; count < 6; count++) {
       await new Promise(resolve => { setTimeout(resolve, 300) })
       links.find(ADDRESS)?.send(demand)
     }
-    expect(heard).not.to.include('heartbeat')
+    expect(receivedTypes).not.to.include('heartbeat')
     await new Promise(resolve => { setTimeout(resolve, 2_000) })
-    expect(heard).to.include('heartbeat')
+    expect(receivedTypes).to.include('heartbeat')
     close()
   })
 
--- a/packages/gateway/src/router/constants.ts
+++ b/packages/gateway/src/router/constants.ts
@@ -1,26 +1,26 @@
 /**
- * Part of the time within which a leaving server must be left alone that passes at least between two reads of the list, by
- * this router or another one.
+ * Minimum time between two reads of the list, by this router or another one, as a fraction of the time within which routers must stop
+ * using a leaving server.
  */
 export const LIST_AGE_SHARE = 0.4
 
 /**
- * The rest of that time in which a router reads the list at a moment of its own, so that the first one spares the others
- * their reads. What is left then is for a slow read and for requests on their way.
+ * Fraction of that time over which routers spread their reads at random, so that the first one saves the others theirs. The remainder
+ * covers a slow read and requests in transit.
  */
 export const LIST_SPREAD_SHARE = 0.15
 
-/** Time between two messages on demand: half the time that an idle model stays at least. */
+/** Time between two reports of demand: half the minimum time for which an idle model stays loaded. */
 export const DEMAND_PERIOD_MS = 500
 
-/** Time between two looks whether requests for a model that is about to go have ended: an idle model is unloaded in 80 ms. */
+/** How often a router checks whether its requests for a model to be unloaded have ended: an idle model is unloaded in 80 ms. */
 export const LEAVING_PERIOD_MS = 50
 
-/** A starting router waits this long for nearly all agents before it calls itself ready without them. */
+/** Time for which a starting router waits for nearly all agents before it reports ready without them. */
 export const AGENT_READY_TIMEOUT_MS = 1_500
 
-/** Time between two looks at which agents to be linked to. */
+/** Time between two updates of the set of agents to connect to. */
 export const FOLLOW_PERIOD_MS = 500
 
-/** Routers that are assumed until agents tell of more: the repeats that all may send are split by it. */
+/** Number of routers that is assumed until agents report more: the retries that all may send are split by it. */
 export const MIN_ROUTER_COUNT = 4
--- a/packages/gateway/src/router/createCatchUp.test.ts
+++ b/packages/gateway/src/router/createCatchUp.test.ts
@@ -12,15 +12,15 @@
 }
 
 describe('catching up with the configuration', () => {
-  it('asks an agent that knows a newer one', () => {
-    // Guards against a router that the store and the passed-on records leave behind.
+  it('requests a newer configuration from the agent that has it', () => {
+    // Guards against a router that gets a change neither from the store nor from relayed records.
     const { timers, catchUp, asked } = setUp()
     catchUp.note('a', 4)
     timers.advance(200)
     expect(asked).to.deep.equal(['a'])
   })
 
-  it('asks nobody when the store was as fast', () => {
+  it('requests nothing when the store was as fast', () => {
     const { timers, catchUp, asked, learn } = setUp()
     catchUp.note('a', 4)
     learn(4)
--- a/packages/gateway/src/router/createCatchUp.ts
+++ b/packages/gateway/src/router/createCatchUp.ts
@@ -1,29 +1,31 @@
 import type { TimerService } from '@figmount/base'
 
-/** A router hears of a change from the store and from an agent at about the same time; only later it counts as behind. */
+/** A router gets a change from the store and from an agent at about the same time; it counts as behind only after this delay. */
 const BEHIND_MS = 150
 
-/** Time between two questions: one that is lost is asked again at another agent within half of what a change may take. */
+/** Time between two requests: a lost one is repeated to another agent within half of the time that a change may take. */
 const ASK_PERIOD_MS = 400
 
 interface Options {
   readonly timers: TimerService
-  /** Offset of the newest configuration that the router knows. */
+  /** Offset of the router's newest configuration. */
   readonly ownOffset: () => number
-  /** Asks an agent for the newest configuration. */
+  /** Requests the newest configuration from an agent. */
   readonly ask: (agentAddress: string) => void
 }
 
-/** Brings a router up to date that the store does not answer. */
+/** Brings a router up to date that gets no configuration from the store. */
 export interface CatchUp {
-  /** Takes in the offset of the newest configuration that an agent knows. */
+  /** Takes the offset of an agent's newest configuration. */
   readonly note: (agentAddress: string, offset: number) => void
 }
 
 /**
- * Guards against a router that is cut off from the store, or whose read is never answered: it would go on by an old
- * configuration for seconds, as one that starts in an outage does. What other routers pass on goes through
- * two agents and may be lost with them; here each agent that is ahead is a way to learn of the change.
+ * Creates the catch-up of one router.
+ *
+ * Guards against a router that is cut off from the store, or whose read is never answered: it would use an old configuration for
+ * seconds, as would one that starts during an outage. The records that other routers relay pass through two agents and may be lost with
+ * them; here any agent that is ahead can provide the change.
  */
 export const createCatchUp = ({ timers, ownOffset, ask }: Options): CatchUp => {
   let askedMs = -Infinity
--- a/packages/gateway/src/router/createDemandReporter.test.ts
+++ b/packages/gateway/src/router/createDemandReporter.test.ts
@@ -39,8 +39,8 @@
 const modelsOf = (message: RouterMessage | undefined): readonly string[] =>
   message?.type === 'demand' ? message.models.map(model => model.modelName) : []
 
-describe('telling agents of demand', () => {
-  it('tells of a model only when it was asked for again', () => {
+describe('demand reporter', () => {
+  it('reports a model only when it was requested again', () => {
     const { meter, sent, tell } = setUp()
     meter.note('m', '', 10)
     meter.note('n', 'a1', 10)
@@ -53,7 +53,7 @@
     expect(sent).to.have.length(2)
   })
 
-  it('tells an agent whose link is new of everything', () => {
+  it('reports everything over a new link', () => {
     // Guards against a restarted agent that unloads the busiest model.
     const { meter, directory, sent, tell, relink } = setUp()
     meter.note('m', '', 10)
@@ -65,7 +65,7 @@
     expect(sent[1]).to.deep.include({ runningModels: ['m'] })
   })
 
-  it('tells of replicas only what has changed', () => {
+  it('reports only changed replica counts', () => {
     const { directory, sent, tell } = setUp()
     const hold = (address: string, ...names: string[]): void =>
       directory.takeState(address, makeAgentState('', { models: names.map(name => ({ name, adapters: [] })) }))
@@ -81,8 +81,8 @@
     expect(sent).to.have.length(2)
   })
 
-  it('does not count a replica that is about to go', () => {
-    // Guards against two engines that each evict a model as the other's spare.
+  it('does not count a replica that is about to be unloaded', () => {
+    // Guards against two engines that each evict a model as redundant.
     const { directory, sent, tell } = setUp()
     const models = [{ name: 'm', adapters: [] }]
     directory.takeState('a:1', makeAgentState('', { models }))
@@ -93,7 +93,7 @@
     expect(sent[1]).to.deep.include({ replicas: [{ modelName: 'm', replicaCount: 1 }] })
   })
 
-  it('tells when the last run of a model has ended', () => {
+  it('reports that the last run of a model has ended', () => {
     const { directory, sent, tell } = setUp()
     directory.own.noteRun(START, 'm')
     tell()
@@ -102,7 +102,7 @@
     expect(sent[1]).to.deep.include({ runningModels: [] })
   })
 
-  it('tells at once when the last request of a leaving model has ended', () => {
+  it('reports at once that the last request of a model to be unloaded has ended', () => {
     const { directory, sent, tell, tellLeaving } = setUp()
     directory.own.noteRun(START, 'm')
     tell()
--- a/packages/gateway/src/router/createDemandReporter.ts
+++ b/packages/gateway/src/router/createDemandReporter.ts
@@ -8,7 +8,7 @@
 const countsOf = (replicas: readonly ModelReplicas[]): ReadonlyMap<string, number> =>
   new Map(replicas.map(({ modelName, replicaCount }) => [modelName, replicaCount]))
 
-/** What is different in the second of two counts; a model that is missing there has one replica at most. */
+/** The differences between two counts; a model that is missing from the second has at most one replica. */
 const changedReplicas = (before: ReadonlyMap<string, number>, now: ReadonlyMap<string, number>): readonly ModelReplicas[] => {
   const changed: ModelReplicas[] = []
   for (const [modelName, replicaCount] of now) {
@@ -20,18 +20,18 @@
   return changed
 }
 
-/** Tells agents of one router's demand. */
+/** Reports one router's demand to the agents. */
 export interface DemandReporter {
-  /** Tells each agent what has changed. */
+  /** Sends each agent the changes since the last report. */
   readonly report: () => void
-  /** Tells agents that wait for the end of a model's requests when the router's own have ended, without waiting for `tell`. */
+  /** Informs agents that wait to unload a model at once when the router's own requests for it have ended. */
   readonly reportLeaving: () => void
 }
 
 /**
- * Makes what tells each agent what has changed in a router's demand; one whose link is new hears all of it.
+ * Creates the reporter, which sends each agent the changes of a router's demand, and all of it over a new link.
  *
- * Guards against messages that fill a router's link: told whole to all agents at each change, they keep requests waiting.
+ * Guards against messages that saturate a router's link: complete reports to all agents at each change delayed requests.
  */
 export const createDemandReporter = (meter: DemandMeter, directory: Directory, agents: AgentLinks): DemandReporter => {
   const runningTexts = new Map<string, string>()
--- a/packages/gateway/src/router/createListChanges.test.ts
+++ b/packages/gateway/src/router/createListChanges.test.ts
@@ -21,34 +21,34 @@
 
 const isChange = (changes: ListChanges, record: FeedRecord): boolean => changes.take([record]).length === 1
 
-describe('news of the list', () => {
-  it('are a new server, one that leaves, one that started again and one that is gone', () => {
-    const news = setUp()
-    expect(isChange(news, recordOf())).to.equal(true)
-    expect(isChange(news, recordOf({ isDraining: true }))).to.equal(true)
-    expect(isChange(news, recordOf({ startedAtUnixMs: 2 }))).to.equal(true)
-    expect(isChange(news, { key: 'a', value: undefined, offset: 0 })).to.equal(true)
+describe('changes of the list', () => {
+  it('include a new server, one that leaves, one that has restarted and one that is gone', () => {
+    const changes = setUp()
+    expect(isChange(changes, recordOf())).to.equal(true)
+    expect(isChange(changes, recordOf({ isDraining: true }))).to.equal(true)
+    expect(isChange(changes, recordOf({ startedAtUnixMs: 2 }))).to.equal(true)
+    expect(isChange(changes, { key: 'a', value: undefined, offset: 0 })).to.equal(true)
   })
 
-  it('are not that a server lives, nor that an unknown one is gone', () => {
-    const news = setUp()
-    news.take([recordOf()])
-    expect(isChange(news, recordOf())).to.equal(false)
-    expect(isChange(news, { key: 'b', value: undefined, offset: 0 })).to.equal(false)
+  it('include neither a renewed entry nor the removal of an unknown server', () => {
+    const changes = setUp()
+    changes.take([recordOf()])
+    expect(isChange(changes, recordOf())).to.equal(false)
+    expect(isChange(changes, { key: 'b', value: undefined, offset: 0 })).to.equal(false)
   })
 
-  it('are an entry that can no longer be read', () => {
-    const news = setUp()
-    news.take([recordOf()])
-    expect(isChange(news, { key: 'a', value: Buffer.from('{'), offset: 0 })).to.equal(true)
+  it('include an entry that has become unreadable', () => {
+    const changes = setUp()
+    changes.take([recordOf()])
+    expect(isChange(changes, { key: 'a', value: Buffer.from('{'), offset: 0 })).to.equal(true)
   })
 
-  it('are other models only where no agent tells of them', () => {
+  it('include other models only if no agent reports them', () => {
     const models = [{ name: 'm', adapters: [] }]
     for (const hasAgentState of [true, false]) {
-      const news = setUp(hasAgentState)
-      news.take([recordOf()])
-      expect(isChange(news, recordOf({ models }))).to.equal(!hasAgentState)
+      const changes = setUp(hasAgentState)
+      changes.take([recordOf()])
+      expect(isChange(changes, recordOf({ models }))).to.equal(!hasAgentState)
     }
   })
 })
--- a/packages/gateway/src/router/createListChanges.ts
+++ b/packages/gateway/src/router/createListChanges.ts
@@ -2,17 +2,17 @@
 
 interface Options {
   readonly decodeServer: StorePort['decodeServer']
-  /** An agent tells of the engine: what the list says of its models is not needed. */
+  /** An agent reports the engine's state, so the models in the list are not needed. */
   readonly hasAgentState: (serverId: string) => boolean
 }
 
-/** Finds what matters among the records of the list, most of which only say that a server lives. */
+/** Filters the records of the list, most of which only renew an unchanged entry. */
 export interface ListChanges {
-  /** The records that say something else of their servers than the ones before. */
+  /** Returns the records whose content differs from the previous one of the same server. */
   readonly take: (records: readonly FeedRecord[]) => readonly FeedRecord[]
 }
 
-/** What a record says of its server, as texts to compare by. */
+/** The content of a record, as texts to compare. */
 interface RecordSummary {
   readonly server: string
   readonly models: string
@@ -24,7 +24,7 @@
 const summarise = ({ startedAtUnixMs, serviceName, address, isDraining, models }: ServerEntry): RecordSummary =>
   ({ server: JSON.stringify([startedAtUnixMs, serviceName, address, isDraining]), models: JSON.stringify(models) })
 
-/** Makes the finder of one router. */
+/** Creates the filter of one router. */
 export const createListChanges = ({ decodeServer, hasAgentState }: Options): ListChanges => {
   const known = new Map<string, RecordSummary>()
 
--- a/packages/gateway/src/router/createReadSchedule.test.ts
+++ b/packages/gateway/src/router/createReadSchedule.test.ts
@@ -5,28 +5,28 @@
 
 const setUp = (random = 0) => {
   const timers = createVirtualTimers()
-  return { timers, turns: createReadSchedule({ timers, periodMs: 1_800, spreadMs: 600, random: () => random }) }
+  return { timers, schedule: createReadSchedule({ timers, periodMs: 1_800, spreadMs: 600, random: () => random }) }
 }
 
-describe('turns to read', () => {
-  it('are due at once while nothing was read', () => {
-    expect(setUp().turns.dueInMs()).to.equal(0)
+describe('schedule of reads', () => {
+  it('has the first read at once', () => {
+    expect(setUp().schedule.dueInMs()).to.equal(0)
   })
 
-  it('count from when the read began', () => {
-    const { timers, turns } = setUp(0.5)
+  it('counts from the beginning of a read', () => {
+    const { timers, schedule } = setUp(0.5)
     timers.advance(1_000)
-    turns.note(900)
-    expect(turns.dueInMs()).to.equal(1_800 + 300 - 100)
+    schedule.note(900)
+    expect(schedule.dueInMs()).to.equal(1_800 + 300 - 100)
   })
 
-  it('are put off by another router\'s read, never brought forward by an older one', () => {
-    const { timers, turns } = setUp()
-    turns.note(0)
+  it('is postponed by another router\'s read, and never advanced by an older one', () => {
+    const { timers, schedule } = setUp()
+    schedule.note(0)
     timers.advance(1_700)
-    turns.note(1_600)
-    expect(turns.dueInMs()).to.equal(1_700)
-    turns.note(1_000)
-    expect(turns.dueInMs()).to.equal(1_700)
+    schedule.note(1_600)
+    expect(schedule.dueInMs()).to.equal(1_700)
+    schedule.note(1_000)
+    expect(schedule.dueInMs()).to.equal(1_700)
   })
 })
--- a/packages/gateway/src/router/createReadSchedule.ts
+++ b/packages/gateway/src/router/createReadSchedule.ts
@@ -2,27 +2,27 @@
 
 interface Options {
   readonly timers: TimerService
-  /** Age up to which what was read is good enough for everybody. */
+  /** Age up to which a read is recent enough for all routers. */
   readonly periodMs: number
-  /** Time beyond it in which each router draws its own turn. */
+  /** Additional time from which each router draws the delay of its own read. */
   readonly spreadMs: number
   readonly random: () => number
 }
 
-/** When one of several routers reads a list that all of them need, and tells the others. */
+/** Decides when one of several routers reads the list that all of them need, so that it can send the result to the others. */
 export interface ReadSchedule {
-  /** The list is known as it was at this time, by an own read or another router's. */
+  /** The router has the list as of this time, from its own read or another router's. */
   readonly note: (asOfMs: number) => void
-  /** Time until the router reads it itself. */
+  /** Time until the router's own next read. */
   readonly dueInMs: () => number
 }
 
 /**
- * Makes the turns of one router.
+ * Creates the schedule of one router.
  *
- * Load pattern: many routers before a store whose every call is paid for. Each read by one of them puts off the reads of all
- * others, and each draws its next turn at random, so that the first one to read is another one each time. A router that hears
- * of no reads, because the reader has died or its own links are cut, reads at its own turn.
+ * Load pattern: many routers share a store that charges for every call. Each router's read postpones those of all others, and each draws
+ * its next time at random, so that another router reads first each time. A router that receives no reads, because the reader has died or
+ * its own links are cut, reads at its own time.
  */
 export const createReadSchedule = ({ timers, periodMs, spreadMs, random }: Options): ReadSchedule => {
   let newestMs = -Infinity
--- a/packages/gateway/src/router/followFeeds.test.ts
+++ b/packages/gateway/src/router/followFeeds.test.ts
@@ -17,7 +17,7 @@
 const SEED = 20261203
 const LEAVE_MS = 4_000
 
-/** Time within which every router must know that a server leaves, with two steps of the test's own clock. */
+/** Time within which every router must see that a server leaves, plus two steps of the test's clock. */
 const KNOWN_WITHIN_MS = LEAVE_MS * 0.55 + 2 * STEP_MS
 
 const decodeServer: StorePort['decodeServer'] = (key, bytes) =>
@@ -30,10 +30,10 @@
 const createStore = () => {
   const records: FeedRecord[] = []
   let readCount = 0
-  let isAway = false
+  let isDown = false
   const read = (page: () => FeedPage): EitherAsync<Fault, FeedPage> => {
     readCount += 1
-    return EitherAsync.liftEither(isAway ? Left(makeFault('timeout', 'read', 'store', 'away')) : Right(page()))
+    return EitherAsync.liftEither(isDown ? Left(makeFault('timeout', 'read', 'store', 'away')) : Right(page()))
   }
   const serverFeed: KeyedFeed = {
     name: 'servers',
@@ -49,7 +49,7 @@
     records.push({ key, value: entry && Buffer.from(JSON.stringify(entry)), offset: records.length })
   }
   const port: StorePort = { serverFeed, deploymentFeed, isDeploymentKey: () => true, decodeServer, decodeDeployment: key => Left(makeFault('invalid', 'decode', key, 'none')) }
-  return { port, write, readCount: () => readCount, setAway: (away: boolean) => { isAway = away } }
+  return { port, write, readCount: () => readCount, setDown: (down: boolean) => { isDown = down } }
 }
 
 interface TestRouter {
@@ -57,14 +57,14 @@
   readonly feeds: Feeds
 }
 
-/** Routers that hear of each other's reads, unless `isLost` says otherwise. */
+/** Routers that receive each other's reads, except those that `isLost` drops. */
 const setUp = (routerCount: number, random: () => number, isLost: (from: number, to: number) => boolean = () => false) => {
   const timers: VirtualTimers = createVirtualTimers()
   const store = createStore()
   const routers: TestRouter[] = []
   for (const id of ['a', 'b', 'c']) store.write(id, entryOf(id))
 
-  const tellOthers = (from: number, read: ListRead): void => {
+  const sendToOthers = (from: number, read: ListRead): void => {
     for (const [to, { feeds }] of routers.entries()) {
       if (to !== from && !isLost(from, to)) feeds.takeListRead(read, false)
     }
@@ -81,7 +81,7 @@
       leaveMs: LEAVE_MS,
       deploymentTaken: () => {},
       relay: () => {},
-      sendListRead: read => { timers.after(STEP_MS, () => tellOthers(index, read)) },
+      sendListRead: read => { timers.after(STEP_MS, () => sendToOthers(index, read)) },
       random
     })
     routers.push({ directory, feeds })
@@ -103,30 +103,30 @@
 const emptyRead = (fromOffset: number, toOffset: number): ListRead =>
   ({ type: 'listRead', fromOffset, toOffset, records: [], ageMs: 5, settlingMs: 0 })
 
-/** Tells a router of the same read until it must know what has been written. */
-const tellAgainAndAgain = async (
-  router: TestRouter | undefined, read: ListRead, mayBeOld: boolean, pass: (durationMs: number) => Promise<void>
+/** Sends a router the same read repeatedly until it must have seen all that was written. */
+const sendRepeatedly = async (
+  router: TestRouter | undefined, read: ListRead, mayBeStale: boolean, pass: (durationMs: number) => Promise<void>
 ): Promise<void> => {
   for (let passedMs = 0; passedMs < KNOWN_WITHIN_MS; passedMs += 200) {
-    router?.feeds.takeListRead(read, mayBeOld)
+    router?.feeds.takeListRead(read, mayBeStale)
     await pass(200)
   }
 }
 
-const isLeft = ({ directory }: TestRouter, serverId: string): boolean => directory.find(serverId)?.entry.isDraining !== false
+const isLeaving = ({ directory }: TestRouter, serverId: string): boolean => directory.find(serverId)?.entry.isDraining !== false
 
 describe('reading the list of servers', () => {
-  it('takes many routers few calls to the store', async () => {
+  it('costs few calls to the store with many routers', async () => {
     const { store, routers, pass } = setUp(30, makeRandom(SEED))
     await pass(500)
     const atStart = store.readCount()
     await pass(18_000)
     stopAll(routers)
-    // Each by itself would make 225 to 300 reads.
+    // Without sharing, the routers would make 225 to 300 reads.
     expect(store.readCount() - atStart).to.be.within(7, 60)
   })
 
-  it('shows each router in time that a server leaves, whichever reads of others it hears of', async () => {
+  it('shows each router in time that a server leaves, whichever reads of others it receives', async () => {
     await fc.assert(fc.asyncProperty(fc.infiniteStream(fc.double({ min: 0, max: 1, maxExcluded: true, noNaN: true })), fc.double({ min: 0, max: 1, noNaN: true }), async (draws, lostShare) => {
       const random = (): number => draws.next().value ?? 0
       const { store, routers, pass } = setUp(5, random, () => random() < lostShare)
@@ -138,14 +138,14 @@
       await pass(KNOWN_WITHIN_MS - 700)
       stopAll(routers)
       for (const router of routers) {
-        expect(isLeft(router, 'a')).to.equal(true)
-        expect(isLeft(router, 'b')).to.equal(true)
-        expect(isLeft(router, 'c')).to.equal(false)
+        expect(isLeaving(router, 'a')).to.equal(true)
+        expect(isLeaving(router, 'b')).to.equal(true)
+        expect(isLeaving(router, 'c')).to.equal(false)
       }
     }), { seed: SEED, numRuns: 25 })
   })
 
-  it('goes on when the routers that read most have died', async () => {
+  it('continues when the routers that read most have died', async () => {
     const { store, routers, pass } = setUp(6, makeRandom(SEED))
     await pass(4_000)
     const [survivor, ...dead] = routers
@@ -153,11 +153,11 @@
     store.write('a', entryOf('a', true))
     await pass(KNOWN_WITHIN_MS)
     stopAll(routers)
-    expect(survivor && isLeft(survivor, 'a')).to.equal(true)
+    expect(survivor && isLeaving(survivor, 'a')).to.equal(true)
   })
 
-  it('keeps servers whose entries lapsed in an outage that another router saw', async () => {
-    // Guards against the loss of all servers at routers whose turns fell before and after an outage.
+  it('keeps servers whose entries expired in an outage that another router saw', async () => {
+    // Guards against losing all servers at routers whose own reads fell before and after an outage.
     const { store, routers, pass } = setUp(1, makeRandom(SEED))
     await pass(500)
     const [router] = routers
@@ -172,25 +172,25 @@
     expect(router?.directory.find('a')).to.equal(undefined)
   })
 
-  it('is not put off by a read that leaves a gap', async () => {
-    // Guards against a leaving server whose record was in a message that was lost.
+  it('is not postponed by a read that leaves a gap', async () => {
+    // Guards against missing a leaving server whose record was in a lost message.
     const { store, routers, pass } = setUp(1, makeRandom(SEED))
     await pass(500)
     const [router] = routers
     store.write('a', entryOf('a', true))
-    await tellAgainAndAgain(router, emptyRead(4, 4), false, pass)
+    await sendRepeatedly(router, emptyRead(4, 4), false, pass)
     stopAll(routers)
-    expect(router && isLeft(router, 'a')).to.equal(true)
+    expect(router && isLeaving(router, 'a')).to.equal(true)
   })
 
-  it('is not put off by what may have been held up on its way', async () => {
-    // Guards against a leaving server that all routers use on, as an agent that stood still passes an old read on.
+  it('is not postponed by a read that may have been delayed', async () => {
+    // Guards against a leaving server that all routers continue to use because a paused agent relays an old read.
     const { store, routers, pass } = setUp(2, makeRandom(SEED), () => true)
     await pass(4_000)
     const [router] = routers
     store.write('a', entryOf('a', true))
-    await tellAgainAndAgain(router, emptyRead(0, 3), true, pass)
+    await sendRepeatedly(router, emptyRead(0, 3), true, pass)
     stopAll(routers)
-    expect(router && isLeft(router, 'a')).to.equal(true)
+    expect(router && isLeaving(router, 'a')).to.equal(true)
   })
 })
--- a/packages/gateway/src/router/followFeeds.ts
+++ b/packages/gateway/src/router/followFeeds.ts
@@ -14,12 +14,12 @@
   readonly timers: TimerService
   readonly events: EventLog
   readonly directory: Directory
-  /** Time within which a leaving server must be left alone. */
+  /** Time within which routers must stop using a leaving server. */
   readonly leaveMs: number
   readonly deploymentTaken: (deployment: Deployment) => void
-  /** Passes on what other routers may have missed. */
+  /** Relays records that other routers may have missed. */
   readonly relay: (feedName: string, records: readonly FeedRecord[]) => void
-  /** Spares other routers a read of the list. */
+  /** Sends a read of the list to other routers, which saves them their own. */
   readonly sendListRead: (read: ListRead) => void
   readonly random: () => number
 }
@@ -27,11 +27,11 @@
 /** The feeds of one router. */
 export interface Feeds {
   readonly deployment: () => Deployment | undefined
-  /** Offset of the configuration in force; -1 for none. */
+  /** Offset of the configuration in force; -1 if there is none. */
   readonly deploymentOffset: () => number
   readonly takeRelay: (feedName: string, records: readonly FeedRecord[]) => void
-  /** Takes in another router's read; one that `mayBeOld` does not put off the own one. */
-  readonly takeListRead: (read: ListRead, mayBeOld: boolean) => void
+  /** Applies another router's read; a possibly stale one does not postpone the router's own read. */
+  readonly takeListRead: (read: ListRead, mayBeStale: boolean) => void
   readonly stop: () => void
 }
 
@@ -87,7 +87,7 @@
   const noteListRead = ({ stretch, isWhole, beganMs }: FeedRead): void => {
     readSchedule.note(beganMs)
     const records = listChanges.take(stretch.records)
-    // Keys that were dropped are missing from a whole read, so it does not spare others theirs.
+    // A whole read does not contain the keys that were removed, so it cannot replace the reads of other routers.
     if (isWhole) return
     const ageMs = Math.ceil(timers.nowMs() - beganMs)
     options.sendListRead({ type: 'listRead', ...stretch, records, ageMs, settlingMs: Math.ceil(directory.missingEntries.settlingMs()) })
@@ -108,9 +108,9 @@
     },
     regained: outageMs => {
       directory.missingEntries.noteRegained()
-      // Guards against a cut that leaves the read of the configuration waiting on a connection that is dead: it would wait
-      // on for seconds, and requests would be handled by an older configuration. A router that hears of no other's reads
-      // reads the list itself, which shows the end of the cut; one that hears of them hears of configurations too.
+      // Guards against a network cut that leaves the read of the configuration waiting on a dead connection: it would wait for seconds while
+      // requests are served by an older configuration. A router that receives no reads from others reads the list itself, which shows
+      // the end of the cut; one that receives them also receives configurations.
       deployments.hurry()
       regained(store.serverFeed.name, outageMs)
     }
@@ -122,11 +122,11 @@
     takeRelay: (feedName, records) => {
       if (feedName === store.deploymentFeed.name) deployments.offer(records)
     },
-    takeListRead: (read, mayBeOld) => {
+    takeListRead: (read, mayBeStale) => {
       directory.missingEntries.noteSettling(read.settlingMs)
       if (!servers.offerStretch(read)) return
       listChanges.take(read.records)
-      if (!mayBeOld) readSchedule.note(timers.nowMs() - read.ageMs)
+      if (!mayBeStale) readSchedule.note(timers.nowMs() - read.ageMs)
     },
     stop: () => {
       deployments.stop()
--- a/packages/gateway/src/router/startGateway.ts
+++ b/packages/gateway/src/router/startGateway.ts
@@ -32,28 +32,28 @@
 import type { Ingress } from '../ingress/startIngress.js'
 import type { GatewayContext } from '../requests/types.js'
 
-/** What a router on the HTTP path is started with. */
+/** Options of a router that serves callers over HTTP. */
 export interface GatewayOptions {
   readonly context: ProcessContext<unknown>
   readonly instance: InstanceName
   readonly dataCentre: string
   /** host:port for callers. */
   readonly callerAddress: string
-  /** host:port for the balancer's questions. */
+  /** host:port for the balancer's readiness checks. */
   readonly readyAddress: string
   readonly agentPort: number
   readonly sharedKey: string
   readonly retryLimits: RetryLimits
-  /** Time that a stop may take. */
+  /** Maximum duration of a stop. */
   readonly stopMs: number
-  /** Time within which a leaving server must be left alone. */
+  /** Time within which the router must stop using a leaving server. */
   readonly leaveMs: number
   readonly codec: HeaderCodec
   readonly store: StorePort
   readonly random: () => number
 }
 
-/** Starts a router that takes callers' HTTP requests. */
+/** Starts a router that serves callers' HTTP requests. */
 export const startGateway = async (options: GatewayOptions): Promise<RunningProcess> => {
   const { timers, events, metrics } = options.context
   const startedMs = timers.nowMs()
@@ -95,7 +95,7 @@
       },
       takeLoad: directory.takeLoad,
       takeRelay: relay => { feeds.takeRelay(relay.feedName, relay.records) },
-      takeListRead: (read, mayBeOld) => { feeds.takeListRead(read, mayBeOld) },
+      takeListRead: (read, mayBeStale) => { feeds.takeListRead(read, mayBeStale) },
       takeCrash: crash => { crashes.note(crash.requestHash, crash.start) },
       takeUnits: (address, answer) => { quotas.takeAnswer(address, answer) },
       lost: address => {
@@ -162,7 +162,7 @@
   limitCallers = ingress.limit
   const known = feeds.deployment()
   if (known) ingress.limit(known.limits)
-  // A router that cannot reach the agents yet would refuse each request for a model that must be loaded first.
+  // A router that has no links to the agents yet would refuse each request whose model must be loaded first.
   const isReady = (): boolean => {
     if (routerStop.isAsked() || !feeds.deployment() || !directory.hasList()) return false
     const hasAgents = directory.entries().some(hasAgent)
