--- a/packages/gateway/src/agents/createAgentLinks.test.ts
+++ b/packages/gateway/src/agents/createAgentLinks.test.ts
@@ -67,8 +67,8 @@
     timers,
     links,
     receivedTypes,
-    tell: () => { for (const link of toRouters) link.send(makeAgentState('a')) },
-    passOn: () => { for (const link of toRouters) link.send({ type: 'listRead', fromOffset: 0, toOffset: 1, records: [], ageMs: 0, settlingMs: 0 }) },
+    sendState: () => { for (const link of toRouters) link.send(makeAgentState('a')) },
+    sendListRead: () => { for (const link of toRouters) link.send({ type: 'listRead', fromOffset: 0, toOffset: 1, records: [], ageMs: 0, settlingMs: 0 }) },
     staleFlags,
     close: () => {
       links.close()
@@ -90,11 +90,11 @@
 
   it('are ready only once the agent has sent its state', async () => {
     // Guards against loading a model twice, by a router that has the state of only half of the engines.
-    const { links, receivedTypes, tell, close } = await setUpAgent()
+    const { links, receivedTypes, sendState, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.send({ type: 'heartbeat' }) ?? false)
     expect(links.isReady()).to.equal(false)
     await until(() => {
-      tell()
+      sendState()
       return links.isReady()
     })
     for (const type of receivedTypes) expect(type).to.equal('heartbeat')
@@ -103,16 +103,16 @@
 
   it('mark a read as possibly stale if an agent relays it after a silence', async () => {
     // Guards against a paused agent whose delayed messages would be taken for new ones.
-    const { timers, links, tell, passOn, staleFlags, close } = await setUpAgent()
+    const { timers, links, sendState, sendListRead, staleFlags, close } = await setUpAgent()
     await until(() => links.find(ADDRESS)?.isOpen() ?? false)
-    const stopTelling = timers.every(100, tell)
+    const stopTelling = timers.every(100, sendState)
     await wait(STALE_DELIVERY_MS + 300)
-    passOn()
+    sendListRead()
     await until(() => staleFlags.length === 1)
     stopTelling()
     await wait(DELAYED_AFTER_MS + 100)
-    tell()
-    passOn()
+    sendState()
+    sendListRead()
     await until(() => staleFlags.length === 2)
     close()
     expect(staleFlags).to.deep.equal([false, true])
--- a/packages/gateway/src/directory/createDirectory.test.ts
+++ b/packages/gateway/src/directory/createDirectory.test.ts
@@ -20,7 +20,7 @@
 
 const gone = (serverId: string): FeedRecord => ({ key: serverId, value: undefined, offset: 2 })
 
-interface Bench {
+interface TestDirectory {
   readonly timers: VirtualTimers
   readonly directory: Directory
   readonly ids: () => readonly string[]
@@ -28,7 +28,7 @@
   readonly refusedCount: () => number
 }
 
-const setUp = (): Bench => {
+const setUp = (): TestDirectory => {
   const timers = createVirtualTimers()
   const lines: string[] = []
   const directory = createDirectory({
--- a/packages/gateway/src/directory/restarts.test.ts
+++ b/packages/gateway/src/directory/restarts.test.ts
@@ -33,10 +33,10 @@
     }
     directory.takeRecords([{ key: entry.serverId, value: Buffer.from(JSON.stringify(entry)), offset: offset++ }])
   }
-  const tell = (start: ServerStart, given: Partial<AgentState> = {}): void => {
+  const report = (start: ServerStart, given: Partial<AgentState> = {}): void => {
     directory.takeState(ADDRESS, makeAgentState(start.serverId, { startedAtUnixMs: start.startedAtUnixMs, ...given }))
   }
-  return { timers, directory, list, tell }
+  return { timers, directory, list, report }
 }
 
 const holds = (directory: Directory, modelName: string): boolean => {
@@ -62,11 +62,11 @@
   })
 
   it('follows the agent\'s report before the list shows the restart', () => {
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(first, ['m'])
-    tell(first, { models: [{ name: 'm', adapters: [] }] })
+    report(first, { models: [{ name: 'm', adapters: [] }] })
     directory.prefixes.remember('a', 'm/', PARTS)
-    tell(second)
+    report(second)
     expect(holds(directory, 'm')).to.equal(false)
     expect(cachedTokens(directory)).to.equal(0)
     directory.loseAgent(ADDRESS)
@@ -75,25 +75,25 @@
   })
 
   it('follows the list before the agent reports the restart', () => {
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(first, ['m'])
-    tell(first, { models: [{ name: 'm', adapters: [] }] })
+    report(first, { models: [{ name: 'm', adapters: [] }] })
     list(second)
     expect(holds(directory, 'm')).to.equal(false)
-    tell(second, { models: [{ name: 'm', adapters: [] }] })
+    report(second, { models: [{ name: 'm', adapters: [] }] })
     expect(holds(directory, 'm')).to.equal(true)
   })
 
   it('counts runs on the previous start as dead and not as load', () => {
     // Guards against a stream that stays silent after its engine's restart.
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(first)
-    tell(first)
+    report(first)
     directory.own.noteSent(first, 50)
     directory.own.noteRun(first, 'm')
     expect(directory.isDead(first)).to.equal(false)
     expect(directory.runningModels(ADDRESS)).to.deep.equal(['m'])
-    tell(second)
+    report(second)
     expect(directory.isDead(first)).to.equal(true)
     expect(directory.isDead(second)).to.equal(false)
     expect(directory.find('a')).to.deep.include({ ownCount: 0, pendingTokens: 0 })
@@ -104,9 +104,9 @@
   })
 
   it('ignores a late entry of the previous start', () => {
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(first)
-    tell(second)
+    report(second)
     directory.prefixes.remember('a', 'm/', PARTS)
     list(first, ['m'])
     directory.loseAgent(ADDRESS)
@@ -118,14 +118,14 @@
 
   it('uses the server although its agent has reported this id as gone', () => {
     // The agent reports gone starts for a while. One of them had the id that the engine has again.
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(first)
-    tell({ serverId: '', startedAtUnixMs: undefined }, { goneStarts: [first] })
+    report({ serverId: '', startedAtUnixMs: undefined }, { goneStarts: [first] })
     expect(directory.serving('s')).to.have.length(0)
     expect(directory.isDead(first)).to.equal(true)
     list(second)
     expect(directory.serving('s')).to.have.length(1)
-    tell(second, { goneStarts: [first] })
+    report(second, { goneStarts: [first] })
     expect(directory.serving('s')).to.have.length(1)
   })
 
@@ -140,12 +140,12 @@
 
   it('does not take an entry without a start time for a restart', () => {
     // Servers of an older version do not report their start time. They have another id after each start.
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     const unknown: ServerStart = { serverId: 'a', startedAtUnixMs: undefined }
     list(first, ['m'])
     directory.prefixes.remember('a', 'm/', PARTS)
     list(unknown, ['m'])
-    tell(unknown, { models: [{ name: 'm', adapters: [] }] })
+    report(unknown, { models: [{ name: 'm', adapters: [] }] })
     expect(cachedTokens(directory)).to.equal(100)
     expect(directory.isDead(first)).to.equal(false)
     expect(directory.isDead(unknown)).to.equal(false)
@@ -153,11 +153,11 @@
 
   it('follows the agent if the server\'s clock was set back', () => {
     // The server's clock is set back before its restart, so the later start has the earlier time. Its agent sees the change.
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(second, ['m'])
-    tell(second, { models: [{ name: 'm', adapters: [] }] })
+    report(second, { models: [{ name: 'm', adapters: [] }] })
     directory.prefixes.remember('a', 'm/', PARTS)
-    tell(first, { goneStarts: [second] })
+    report(first, { goneStarts: [second] })
     expect(directory.isDead(second)).to.equal(true)
     expect(cachedTokens(directory)).to.equal(0)
     expect(holds(directory, 'm')).to.equal(false)
@@ -168,11 +168,11 @@
 
   it('does not take an agent\'s report that is older than the list for a restart', () => {
     // An agent is paused while its engine restarts under the same id and the list shows the new start. Its next report is older.
-    const { directory, list, tell } = setUp()
+    const { directory, list, report } = setUp()
     list(first)
-    tell(first)
+    report(first)
     list(second, ['m'])
-    tell(first, { models: [{ name: 'n', adapters: [] }] })
+    report(first, { models: [{ name: 'n', adapters: [] }] })
     expect(directory.isDead(second)).to.equal(false)
     expect(holds(directory, 'm')).to.equal(true)
     expect(holds(directory, 'n')).to.equal(false)
--- a/packages/gateway/src/limits/createQuotas.ts
+++ b/packages/gateway/src/limits/createQuotas.ts
@@ -67,7 +67,7 @@
   const avoidedUntilMs = new Map<string, number>()
   const openQueries = new Map<number, { readonly address: string, readonly settle: Settle }>()
   /** Time until which an organisation's limit is known to be exhausted. */
-  const usedUpUntilMs = new Map<string, number>()
+  const exhaustedUntilMs = new Map<string, number>()
   const localBuckets = new Map<string, TokenBucket>()
   let nextAskId = 1
   let lastReviewed = ''
@@ -144,7 +144,7 @@
 
   /** No request is admitted before the time at which the last refused one would be. */
   const knownRefusal = (name: string): Admission | undefined => {
-    const leftMs = (usedUpUntilMs.get(name) ?? -Infinity) - timers.nowMs()
+    const leftMs = (exhaustedUntilMs.get(name) ?? -Infinity) - timers.nowMs()
     return leftMs > 0 ? { isAdmitted: false, isOverLimit: true, retryAfterMs: leftMs } : undefined
   }
 
@@ -163,7 +163,7 @@
         return ADMITTED
       }
       if (answer?.outcome === 'refused') {
-        usedUpUntilMs.set(name, timers.nowMs() + answer.waitMs)
+        exhaustedUntilMs.set(name, timers.nowMs() + answer.waitMs)
         return { isAdmitted: false, isOverLimit: true, retryAfterMs: answer.waitMs }
       }
       // The limiter is paused, or does not have the organisation's limit.
@@ -183,7 +183,7 @@
     admit,
     refund: ({ name, limit }, units) => {
       if (!limit) return
-      usedUpUntilMs.delete(name)
+      exhaustedUntilMs.delete(name)
       sendReturned(name, units)
     },
     charge: ({ name, limit }, units) => { if (limit) sendReturned(name, -units) },
--- a/packages/gateway/src/limits/quotaStorm.test.ts
+++ b/packages/gateway/src/limits/quotaFaults.test.ts
@@ -37,7 +37,7 @@
   life: number
 }
 
-interface Passed {
+interface AdmittedRequest {
   readonly atMs: number
   readonly units: number
 }
@@ -47,12 +47,12 @@
 })
 
 /** Routers and agents with one overloaded organisation; agents die, pause or are cut off from some routers. */
-const play = async (seed: number, faultPeriodMs: number, durationMs: number): Promise<readonly Passed[]> => {
+const simulate = async (seed: number, faultPeriodMs: number, durationMs: number): Promise<readonly AdmittedRequest[]> => {
   const random: Random = makeRandom(seed)
   const timers = createVirtualTimers()
   const agents = new Map(Array.from({ length: AGENT_COUNT }, (_, index) => [`a${index}:1`, makeAgent(timers, true, 0)]))
   const links = Array.from({ length: ROUTER_COUNT }, () => new Set(agents.keys()))
-  const passed: Passed[] = []
+  const admitted: AdmittedRequest[] = []
   const routers: Quotas[] = []
 
   const linkDelayMs = (): number => 1 + random() * 4
@@ -127,24 +127,24 @@
   })
 
   // Requests over four times the limit.
-  const askOnce = async (): Promise<void> => {
+  const requestOnce = async (): Promise<void> => {
     const units = draw(REQUEST_UNITS) ?? 0
     const admission = await routers[Math.floor(random() * ROUTER_COUNT)]?.admit(ACME, units, 30)
-    if (admission?.isAdmitted) passed.push({ atMs: timers.nowMs(), units })
+    if (admission?.isAdmitted) admitted.push({ atMs: timers.nowMs(), units })
   }
-  const asking: Array<Promise<void>> = []
+  const admissions: Array<Promise<void>> = []
   // No requests in the last two seconds, so that all are answered.
   for (let passedMs = 0; passedMs < durationMs; passedMs += 5) {
     timers.advance(5)
-    if (passedMs >= CALM_MS && passedMs < durationMs - 2_000 && passedMs % 40 === 0) asking.push(askOnce())
+    if (passedMs >= CALM_MS && passedMs < durationMs - 2_000 && passedMs % 40 === 0) admissions.push(requestOnce())
     for (let turn = 0; turn < 6; turn++) await Promise.resolve()
   }
-  await Promise.all(asking)
+  await Promise.all(admissions)
   for (const router of routers) router.stop()
-  return passed
+  return admitted
 }
 
-const mostInWindow = (passed: readonly Passed[]): number => {
+const maxUnitsInWindow = (passed: readonly AdmittedRequest[]): number => {
   let most = 0
   let sum = 0
   let first = 0
@@ -160,15 +160,15 @@
 
 describe('an organisation that exceeds its limit at many routers', () => {
   it('gets exactly its limit without faults', async () => {
-    const passed = await play(1, 1_000_000, 20_000)
-    expect(mostInWindow(passed)).to.be.within(0.95 * LIMIT.unitsPerS * 8, LIMIT.unitsPerS * 8 + LIMIT.burstUnits + 20_000)
+    const passed = await simulate(1, 1_000_000, 20_000)
+    expect(maxUnitsInWindow(passed)).to.be.within(0.95 * LIMIT.unitsPerS * 8, LIMIT.unitsPerS * 8 + LIMIT.burstUnits + 20_000)
   })
 
   it('never exceeds its limit, whichever agents die, pause or are cut off', async () => {
     // Guards against two limiters that both grant the same part of a limit.
     for (let seed = 1; seed <= 12; seed++) {
-      const passed = await play(seed, 700, 25_000)
-      expect(mostInWindow(passed), `seed ${seed}`).to.be.at.most(ALLOWED_UNITS)
+      const passed = await simulate(seed, 700, 25_000)
+      expect(maxUnitsInWindow(passed), `seed ${seed}`).to.be.at.most(ALLOWED_UNITS)
       const total = passed.reduce((sum, { units }) => sum + units, 0)
       expect(total, `seed ${seed}`).to.be.above(0.4 * LIMIT.unitsPerS * 18)
     }
--- a/packages/gateway/src/placing/createQueueScaler.ts
+++ b/packages/gateway/src/placing/createQueueScaler.ts
@@ -44,8 +44,8 @@
       const model = engine?.models.find(candidate => candidate.name === modelName)
       if (!engine || !model) return
       requestedMs.set(modelName, timers.nowMs())
-      const aheadCount = requestsAhead({ requestsPerS: context.demand.requestsPerS(modelName) * context.routerCount() })
-      requestReplica(context, { spec: engine, model, servers, lateCount: aheadCount * lateShare(queueMs / MS_PER_S), reason: 'queue', timeLeftMs: QUEUE_WANT_MS })
+      const expectedCount = requestsAhead({ requestsPerS: context.demand.requestsPerS(modelName) * context.routerCount() })
+      requestReplica(context, { spec: engine, model, servers, lateCount: expectedCount * lateShare(queueMs / MS_PER_S), reason: 'queue', timeLeftMs: QUEUE_WANT_MS })
     }
   }
 }
--- a/packages/gateway/src/placing/watchReplicas.ts
+++ b/packages/gateway/src/placing/watchReplicas.ts
@@ -58,19 +58,19 @@
   const ask = ({ model }: ModelPlacement, reason: string, maxColdLoads?: number): void => {
     requestReplica(context, { spec, model, servers, lateCount: 0, reason, ...(maxColdLoads === undefined ? {} : { maxColdLoads }) })
   }
-  const [short] = planReplicas(placements.map(standing => ({ ...standing, modelName: standing.model.name })))
-  const busiest = placements.find(standing => standing.model.name === short)
+  const [short] = planReplicas(placements.map(placement => ({ ...placement, modelName: placement.model.name })))
+  const busiest = placements.find(placement => placement.model.name === short)
   if (busiest) ask(busiest, 'demand')
   // The engines that hold a busy model may crash together, and a load from the weight store takes longer than its callers wait. With a
   // copy on another engine the model is back in half a second.
-  const scarce = placements.find(standing =>
-    standing.promptTokensPerS > BUSY_TOKENS_PER_S && standing.copyCount < MIN_BUSY_COPIES && standing.comingCount === 0)
+  const scarce = placements.find(placement =>
+    placement.promptTokensPerS > BUSY_TOKENS_PER_S && placement.copyCount < MIN_BUSY_COPIES && placement.comingCount === 0)
   if (scarce) ask(scarce, 'few copies')
   // A model without any replica or copy costs its next caller a load from the weight store. Loading it while no caller waits leaves a
   // copy on the engine's disk, from which it is loaded in half a second. Models whose callers were refused recently come first.
-  const isIdle = placements.every(standing => standing.promptTokensPerS === 0)
+  const isIdle = placements.every(placement => placement.promptTokensPerS === 0)
   const absent = placements
-    .filter(standing => standing.copyCount === 0 && standing.comingCount === 0)
+    .filter(placement => placement.copyCount === 0 && placement.comingCount === 0)
     .sort((a, b) => context.demand.requestsPerS(b.model.name) - context.demand.requestsPerS(a.model.name))
   // Before the first requests arrive no caller is delayed, so as many loads run at a time as the store carries at full speed.
   if (absent[0]) ask(absent[0], 'no copy', isIdle ? Infinity : undefined)
--- a/packages/gateway/src/requests/serveModel.test.ts
+++ b/packages/gateway/src/requests/serveModel.test.ts
@@ -200,7 +200,7 @@
     const { directory, context, request, statuses, retriesMs } = setUp(() => undefined)
     const route = (priority: number): RoutedRequest['route'] =>
       ({ ...request.route, priority, kind: 'stream', shares: [{ serviceName: 's', weight: 1 }] })
-    const crowded = {
+    const overloaded = {
       ...context,
       occupancy: { note: () => {}, meanMs: () => 2_000 },
       random: () => 0.5,
@@ -208,10 +208,10 @@
     } as unknown as GatewayContext
     directory.takeState('a:1', makeAgentState('a', { models: [{ name: 'm', adapters: [] }] }))
     directory.takeLoad('a:1', { type: 'load', runningCount: 1, startingCount: 3 })
-    await serveModel(crowded, { ...request, route: route(1), priority: 1 })
+    await serveModel(overloaded, { ...request, route: route(1), priority: 1 })
     expect(statuses).to.deep.equal([503])
     expect(retriesMs).to.deep.equal([1_500])
-    expect(shouldShed(crowded, { ...request, route: route(1), priority: 1 }, 8_000, 5_000)).to.equal(true)
-    expect(shouldShed(crowded, { ...request, route: route(0), priority: 0 }, 8_000, 5_000)).to.equal(false)
+    expect(shouldShed(overloaded, { ...request, route: route(1), priority: 1 }, 8_000, 5_000)).to.equal(true)
+    expect(shouldShed(overloaded, { ...request, route: route(0), priority: 0 }, 8_000, 5_000)).to.equal(false)
   })
 })
--- a/packages/gateway/src/requests/watchCrash.test.ts
+++ b/packages/gateway/src/requests/watchCrash.test.ts
@@ -17,7 +17,7 @@
   { serverId: 'a', startedAtUnixMs: undefined, serviceName: 's', address: ADDRESS, dataCentre: 'east', slots: 1, isDraining: false, models: [] }
 
 /** An agent's report after its engine's death. */
-const DEAD = makeAgentState('', { isUp: false, goneStarts: [{ serverId: 'a', startedAtUnixMs: undefined }] })
+const DEAD_STATE = makeAgentState('', { isUp: false, goneStarts: [{ serverId: 'a', startedAtUnixMs: undefined }] })
 
 /** A router that knows one engine, on which a request runs. */
 const setUpRun = () => {
@@ -30,7 +30,7 @@
     directory.takeRecords([{ key: 'a', value: Buffer.from('x'), offset: 1 }])
   }
   const unlist = (): void => { directory.takeKeys(new Set()) }
-  const tellDeath = (): void => { directory.takeState(ADDRESS, DEAD) }
+  const reportDeath = (): void => { directory.takeState(ADDRESS, DEAD_STATE) }
   list()
   directory.takeState(ADDRESS, makeAgentState('a'))
   const relayed: string[] = []
@@ -38,14 +38,14 @@
   const context = { timers, directory, crashes, crashNotifier: createCrashNotifier(timers, ({ type }) => { relayed.push(type) }) } as unknown as GatewayContext
   const server = directory.find('a')
   if (!server) throw new Error('engine a is missing from the directory')
-  const breakOff = (wasCut = false): void => { watchCrash(context, { requestHash: 'h' } as unknown as RoutedRequest, server, wasCut) }
-  return { timers, directory, crashes, relayed, list, unlist, tellDeath, breakOff }
+  const interruptRun = (wasCut = false): void => { watchCrash(context, { requestHash: 'h' } as unknown as RoutedRequest, server, wasCut) }
+  return { timers, directory, crashes, relayed, list, unlist, reportDeath, interruptRun }
 }
 
 /** The same after the run was interrupted. */
 const setUp = () => {
   const run = setUpRun()
-  run.breakOff()
+  run.interruptRun()
   return run
 }
 
@@ -82,35 +82,35 @@
 
   it('is counted if the engine disappears from the list before its agent reports the death', () => {
     // Guards against a request that kills a third engine: an engine without a list entry was considered alive.
-    const { timers, crashes, unlist, tellDeath } = setUp()
+    const { timers, crashes, unlist, reportDeath } = setUp()
     timers.advance(113)
     unlist()
     timers.advance(700)
-    tellDeath()
+    reportDeath()
     timers.advance(100)
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
   it('is counted if the engine disappears from the list before the run is interrupted', () => {
     // Guards against the same fault when a busy router reads the list before it sees the end of the stream.
-    const { timers, crashes, unlist, tellDeath, breakOff } = setUpRun()
+    const { timers, crashes, unlist, reportDeath, interruptRun } = setUpRun()
     unlist()
     timers.advance(113)
-    breakOff()
-    tellDeath()
+    interruptRun()
+    reportDeath()
     timers.advance(100)
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
   it('is counted if the agent\'s report and the list change between two checks', () => {
     // Guards against the same fault when both arrive within one check period.
-    const { timers, crashes, unlist, tellDeath } = setUp()
+    const { timers, crashes, unlist, reportDeath } = setUp()
     timers.advance(110)
-    tellDeath()
+    reportDeath()
     timers.advance(20)
     unlist()
     timers.advance(1_000)
-    tellDeath()
+    reportDeath()
     timers.advance(2_500)
     expect(crashes.crashCount('h')).to.equal(1)
   })
@@ -145,65 +145,65 @@
 
   it('is not counted if a draining engine exits', () => {
     // Guards against refusing harmless requests as the cause of crashes: a stream may outlast a leaving engine.
-    const { timers, crashes, list, tellDeath, breakOff } = setUpRun()
+    const { timers, crashes, list, reportDeath, interruptRun } = setUpRun()
     list({ isDraining: true })
     timers.advance(2_000)
-    breakOff()
-    tellDeath()
+    interruptRun()
+    reportDeath()
     timers.advance(5_000)
     expect(crashes.crashCount('h')).to.equal(0)
   })
 
   it('is not counted if an engine leaves the list, continues to serve and exits', () => {
     // Guards against the same fault when an engine leaves without an announcement.
-    const { timers, crashes, unlist, tellDeath, breakOff } = setUpRun()
+    const { timers, crashes, unlist, reportDeath, interruptRun } = setUpRun()
     unlist()
     timers.advance(2_000)
-    breakOff()
-    tellDeath()
+    interruptRun()
+    reportDeath()
     timers.advance(5_000)
     expect(crashes.crashCount('h')).to.equal(0)
   })
 
   it('is counted if the engine was off the list for a while and is listed again', () => {
-    const { timers, crashes, list, unlist, tellDeath, breakOff } = setUpRun()
+    const { timers, crashes, list, unlist, reportDeath, interruptRun } = setUpRun()
     unlist()
     timers.advance(2_000)
     list()
-    breakOff()
+    interruptRun()
     timers.advance(200)
-    tellDeath()
+    reportDeath()
     timers.advance(100)
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
   it('is counted if the router aborts a run on an engine that is known to be dead', () => {
     // Guards against a request that kills engine after engine: their connections stay open but silent, and the caller leaves.
-    const { timers, crashes, tellDeath, breakOff } = setUpRun()
-    tellDeath()
+    const { timers, crashes, reportDeath, interruptRun } = setUpRun()
+    reportDeath()
     timers.advance(2_000)
-    breakOff(true)
+    interruptRun(true)
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
   it('is counted if an engine dies without closing its connections and is unlisted before the run is aborted', () => {
     // Guards against the same fault: a dead engine that was unlisted for a while looked like one that had left gracefully.
-    const { timers, crashes, unlist, tellDeath, breakOff } = setUpRun()
+    const { timers, crashes, unlist, reportDeath, interruptRun } = setUpRun()
     timers.advance(50)
-    tellDeath()
+    reportDeath()
     timers.advance(850)
     unlist()
     timers.advance(1_450)
-    breakOff()
+    interruptRun()
     expect(crashes.crashCount('h')).to.equal(1)
   })
 
   it('is not counted if the router aborts a run on an engine that dies later', () => {
     // Guards against refusing harmless requests as the cause of crashes after their callers had left.
-    const { timers, crashes, tellDeath, breakOff } = setUpRun()
-    breakOff(true)
+    const { timers, crashes, reportDeath, interruptRun } = setUpRun()
+    interruptRun(true)
     timers.advance(50)
-    tellDeath()
+    reportDeath()
     timers.advance(5_000)
     expect(crashes.crashCount('h')).to.equal(0)
   })
--- a/packages/gateway/src/retries/createCrashNotifier.test.ts
+++ b/packages/gateway/src/retries/createCrashNotifier.test.ts
@@ -12,10 +12,10 @@
     // Guards against a message to every router for each request of a dead engine.
     const timers = createVirtualTimers()
     const sent: CrashNotice[] = []
-    const teller = createCrashNotifier(timers, notice => { sent.push(notice) })
-    for (const hash of ['x', 'y', 'z']) teller.notify(crashOf(hash))
+    const notifier = createCrashNotifier(timers, notice => { sent.push(notice) })
+    for (const hash of ['x', 'y', 'z']) notifier.notify(crashOf(hash))
     timers.advance(100)
-    teller.notify(crashOf('w'))
+    notifier.notify(crashOf('w'))
     timers.advance(100)
     expect(sent.map(({ crashes }) => crashes.map(crash => crash.requestHash))).to.deep.equal([['x', 'y', 'z'], ['w']])
   })
--- a/packages/gateway/src/retries/createCrashNotifier.ts
+++ b/packages/gateway/src/retries/createCrashNotifier.ts
@@ -2,7 +2,7 @@
 import type { Crash, CrashNotice } from '@figmount/fleet'
 
 /** Crashes within this time are sent as one message; a caller takes longer to resend its request. */
-const BATCH_MS = 50
+const GATHER_MS = 50
 
 /** Reports to other routers which requests were running when their servers died. */
 export interface CrashNotifier {
@@ -10,23 +10,23 @@
 }
 
 /**
- * Batches crashes before they are sent.
+ * Gathers crashes before they are sent.
  *
  * Guards against a flood of messages when an engine dies with dozens of requests: sent one by one through two agents each, they were
  * thousands of messages at once.
  */
 export const createCrashNotifier = (timers: TimerService, send: (notice: CrashNotice) => void): CrashNotifier => {
-  let batch: readonly Crash[] = []
+  let gathered: readonly Crash[] = []
 
   const flush = (): void => {
-    send({ type: 'crash', crashes: batch })
-    batch = []
+    send({ type: 'crash', crashes: gathered })
+    gathered = []
   }
 
   return {
     notify: crash => {
-      if (batch.length === 0) timers.after(BATCH_MS, flush)
-      batch = [...batch, crash]
+      if (gathered.length === 0) timers.after(GATHER_MS, flush)
+      gathered = [...gathered, crash]
     }
   }
 }
--- a/packages/gateway/src/router/createDemandReporter.test.ts
+++ b/packages/gateway/src/router/createDemandReporter.test.ts
@@ -33,7 +33,7 @@
     find: () => ({ send: (message: RouterMessage) => sent.push(message) })
   } as unknown as AgentLinks
   const { report, reportLeaving } = createDemandReporter(meter, directory, links)
-  return { timers, meter, directory, sent, tell: report, tellLeaving: reportLeaving, relink: () => { isNewLink = true } }
+  return { timers, meter, directory, sent, report, reportLeaving, relink: () => { isNewLink = true } }
 }
 
 const modelsOf = (message: RouterMessage | undefined): readonly string[] =>
@@ -41,77 +41,77 @@
 
 describe('demand reporter', () => {
   it('reports a model only when it was requested again', () => {
-    const { meter, sent, tell } = setUp()
+    const { meter, sent, report } = setUp()
     meter.note('m', '', 10)
     meter.note('n', 'a1', 10)
-    tell()
+    report()
     expect(modelsOf(sent[0])).to.have.members(['m', 'n'])
     meter.note('n', '', 10)
-    tell()
+    report()
     expect(modelsOf(sent[1])).to.deep.equal(['n'])
-    tell()
+    report()
     expect(sent).to.have.length(2)
   })
 
   it('reports everything over a new link', () => {
     // Guards against a restarted agent that unloads the busiest model.
-    const { meter, directory, sent, tell, relink } = setUp()
+    const { meter, directory, sent, report, relink } = setUp()
     meter.note('m', '', 10)
     directory.own.noteRun(START, 'm')
-    tell()
+    report()
     relink()
-    tell()
+    report()
     expect(modelsOf(sent[1])).to.deep.equal(['m'])
     expect(sent[1]).to.deep.include({ runningModels: ['m'] })
   })
 
   it('reports only changed replica counts', () => {
-    const { directory, sent, tell } = setUp()
+    const { directory, sent, report } = setUp()
     const hold = (address: string, ...names: string[]): void =>
       directory.takeState(address, makeAgentState('', { models: names.map(name => ({ name, adapters: [] })) }))
     const replicasOf = (index: number): unknown => sent[index]?.type === 'demand' ? sent[index].replicas : undefined
     hold('a:1', 'm', 'n')
     hold('b:1', 'm', 'n')
-    tell()
+    report()
     expect(replicasOf(0)).to.have.length(2)
     hold('b:1', 'm')
-    tell()
+    report()
     expect(replicasOf(1)).to.deep.equal([{ modelName: 'n', replicaCount: 1 }])
-    tell()
+    report()
     expect(sent).to.have.length(2)
   })
 
   it('does not count a replica that is about to be unloaded', () => {
     // Guards against two engines that each evict a model as redundant.
-    const { directory, sent, tell } = setUp()
+    const { directory, sent, report } = setUp()
     const models = [{ name: 'm', adapters: [] }]
     directory.takeState('a:1', makeAgentState('', { models }))
     directory.takeState('b:1', makeAgentState('', { models }))
-    tell()
+    report()
     directory.takeState('a:1', makeAgentState('', { models, leavingModels: ['m'] }))
-    tell()
+    report()
     expect(sent[1]).to.deep.include({ replicas: [{ modelName: 'm', replicaCount: 1 }] })
   })
 
   it('reports that the last run of a model has ended', () => {
-    const { directory, sent, tell } = setUp()
+    const { directory, sent, report } = setUp()
     directory.own.noteRun(START, 'm')
-    tell()
+    report()
     directory.own.noteRunEnd(START, 'm')
-    tell()
+    report()
     expect(sent[1]).to.deep.include({ runningModels: [] })
   })
 
   it('reports at once that the last request of a model to be unloaded has ended', () => {
-    const { directory, sent, tell, tellLeaving } = setUp()
+    const { directory, sent, report, reportLeaving } = setUp()
     directory.own.noteRun(START, 'm')
-    tell()
+    report()
     directory.own.noteRunEnd(START, 'm')
-    tellLeaving()
+    reportLeaving()
     expect(sent).to.have.length(1)
     directory.takeState('a:1', makeAgentState('a', { leavingModels: ['m'] }))
-    tellLeaving()
-    tellLeaving()
+    reportLeaving()
+    reportLeaving()
     expect(sent).to.have.length(2)
     expect(sent[1]).to.deep.include({ runningModels: [] })
   })
--- a/packages/gateway/src/router/createReadSchedule.test.ts
+++ b/packages/gateway/src/router/createReadSchedule.test.ts
@@ -8,19 +8,19 @@
   return { timers, schedule: createReadSchedule({ timers, periodMs: 1_800, spreadMs: 600, random: () => random }) }
 }
 
-describe('schedule of reads', () => {
-  it('has the first read at once', () => {
+describe('scheduled reads', () => {
+  it('are due at once while nothing was read', () => {
     expect(setUp().schedule.dueInMs()).to.equal(0)
   })
 
-  it('counts from the beginning of a read', () => {
+  it('count from when the read began', () => {
     const { timers, schedule } = setUp(0.5)
     timers.advance(1_000)
     schedule.note(900)
     expect(schedule.dueInMs()).to.equal(1_800 + 300 - 100)
   })
 
-  it('is postponed by another router\'s read, and never advanced by an older one', () => {
+  it('are put off by another router\'s read, never brought forward by an older one', () => {
     const { timers, schedule } = setUp()
     schedule.note(0)
     timers.advance(1_700)
