--- a/packages/gateway/src/limits/createQuotas.ts
+++ b/packages/gateway/src/limits/createQuotas.ts
@@ -142,7 +142,7 @@
     return taking.isTaken ? ADMITTED : { isAdmitted: false, isOverLimit: false, retryAfterMs: taking.retryAfterMs }
   }
 
-  /** No request is admitted before the time at which the last refused one would be. */
+  /** Refuses every request until the time at which the last refused one would fit. */
   const knownRefusal = (name: string): Admission | undefined => {
     const leftMs = (exhaustedUntilMs.get(name) ?? -Infinity) - timers.nowMs()
     return leftMs > 0 ? { isAdmitted: false, isOverLimit: true, retryAfterMs: leftMs } : undefined
--- a/packages/gateway/src/placing/createQueueScaler.ts
+++ b/packages/gateway/src/placing/createQueueScaler.ts
@@ -23,7 +23,7 @@
 
 /** Requests additional replicas of models whose requests queue. */
 export interface QueueScaler {
-  /** Takes the time that a request is expected to queue on the best server that holds its model. */
+  /** Requests a replica if a request is expected to queue for too long, `queueMs`, on the best server that holds its model. */
   readonly note: (context: GatewayContext, request: RoutedRequest, servers: readonly KnownServer[], queueMs: number) => void
 }
 
--- a/packages/gateway/src/placing/viewServers.ts
+++ b/packages/gateway/src/placing/viewServers.ts
@@ -26,7 +26,7 @@
 /**
  * Models that several engines hold; an engine that is about to unload the model is not counted.
  *
- * Guards against two engines that each evict a busy model as redundant: an unload only starts once running streams have ended.
+ * Guards against two engines that each evict a busy model because the other still holds it: an unload waits for running streams to end.
  */
 export const viewReplicas = (directory: Directory): readonly ModelReplicas[] => {
   const counts = new Map<string, number>()
--- a/packages/gateway/src/requests/awaitAdapter.ts
+++ b/packages/gateway/src/requests/awaitAdapter.ts
@@ -18,7 +18,8 @@
 
 /**
  * Requests an adapter from the agent of an engine that holds its model. An engine fetches an adapter in milliseconds but accepts no order
- * while it loads a model. A request that cannot wait for the end of that load is refused at once; its adapter is then the first to be fetched.
+ * while it loads a model. A request that cannot wait for the end of that load is refused at once, with the time of its end; its adapter is
+ * then the first to be fetched.
  */
 export const awaitAdapter = async (
   context: GatewayContext, request: RoutedRequest, server: KnownServer, expectedMs: number, bounds: WaitBounds
--- a/packages/gateway/src/requests/constants.ts
+++ b/packages/gateway/src/requests/constants.ts
@@ -17,8 +17,8 @@
 export const REJECTED_RETRY_MS = 300
 
 /**
- * Minimum retry-after when all engines with a model are full, and the jitter added to it. Where another engine has a copy of the
- * weights, an additional replica is loaded within a second.
+ * Minimum retry-after when all engines with a model are full, and the maximum of the jitter added to it. Where another engine has a
+ * copy of the weights, an additional replica is loaded within a second.
  */
 export const OVERLOAD_RETRY_MS = 1_000
 
--- a/packages/gateway/src/requests/endRequest.ts
+++ b/packages/gateway/src/requests/endRequest.ts
@@ -59,7 +59,7 @@
 }
 
 /**
- * Ends an answer once its bytes are written to the socket.
+ * Ends an answer once its bytes are handed to the operating system.
  *
  * Guards against truncated answers to callers that read slowly: Node considers a connection idle as soon as its answer is ended, so a
  * stopping router would close it with the rest unsent.
--- a/packages/gateway/src/router/createCatchUp.ts
+++ b/packages/gateway/src/router/createCatchUp.ts
@@ -14,7 +14,7 @@
   readonly ask: (agentAddress: string) => void
 }
 
-/** Brings a router up to date that gets no configuration from the store. */
+/** Brings a router up to date when it does not get the configuration from the store. */
 export interface CatchUp {
   /** Takes the offset of an agent's newest configuration. */
   readonly note: (agentAddress: string, offset: number) => void
--- a/packages/gateway/src/stopping/drain.ts
+++ b/packages/gateway/src/stopping/drain.ts
@@ -14,7 +14,7 @@
   readonly events: EventLog
 }
 
-/** Stops taking new requests after a while and lets open ones finish; those still open at the end of the stop get their final answer then. */
+/** Takes no new requests after a while and lets open ones finish; those still open when the stop ends get their final answer then. */
 export const drain = async ({ stop, ingress, timers, events }: Options): Promise<void> => {
   const waitUntilEmpty = async (waitMs: number): Promise<void> => {
     const untilMs = timers.nowMs() + waitMs
