--- a/packages/gateway/src/agents/createAgentLinks.test.ts
+++ b/packages/gateway/src/agents/createAgentLinks.test.ts
@@ -45,7 +45,7 @@
   return { timers, links, lost }
 }
 
-/** A router's link to a test agent, which answers nothing; `tell` sends the agent's state to the router, `passOn` a read of the list. */
+/** A router's link to a test agent that answers nothing; `sendState` sends it the agent's state, `sendListRead` a read of the list. */
 const setUpAgent = async () => {
   const server = createServer()
   const timers = createTimerService()
