--- a/packages/decisions/src/placing/chooseLoader.ts
+++ b/packages/decisions/src/placing/chooseLoader.ts
@@ -1,40 +1,40 @@
 import { rankByRendezvous } from '@figmount/base'
 
 import { FAILURE_COST_MS } from './constants.js'
-import { lateWhileAbsent } from './lateRequests.js'
+import { countLateWhileAbsent } from './lateRequests.js'
 
 import type { LoaderView, LoadTimes } from './types.js'
 
-/** Time that one request made late weighs, in ms of a wait. */
+/** Cost of one request that becomes late, expressed as a wait. */
 const LOSS_COST_MS = 200
 
-/** Time that each model held weighs: of two servers the emptier one keeps more choices open. */
+/** Cost per model that the server holds. Of two otherwise equal servers the emptier one is chosen, which leaves more options open. */
 const HELD_COST_MS = 10
 
 /**
- * Time that a load's length weighs on a server that is busy, at one engine's full prompt rate: adapters of its models
- * wait for the load's end.
+ * Weight of the load's duration on a server whose models use the engine's full prompt rate, because adapters of these models
+ * cannot be loaded until the load ends.
  */
 const BUSY_SHARE = 0.5
 
 const FULL_RATE_TOKENS_PER_S = 40_000
 
 /**
- * Time that a load from the weight store weighs besides its own: the engine takes no other order meanwhile, and beyond a
- * few at once each of them slows the others.
+ * Additional cost of a load from the weight store: the engine accepts no other order meanwhile, and once more than a few such
+ * loads run at the same time, each slows down the others.
  */
 const COLD_COST_MS = 3_000
 
-/** A second load of a model that is being loaded must save this much: a copy at hand takes about as long. */
-const SECOND_LOAD_COST_MS = 500
+/** Minimum saving that justifies loading a model that is already being loaded elsewhere: a load from a local copy takes about as long. */
+const DUPLICATE_LOAD_COST_MS = 500
 
-/** The same for a load that is asked for and not begun: routers' messages cross within a tenth of a second. */
-const SECOND_WANT_COST_MS = 150
+/** The same for a load that is queued but has not started: messages of routers cross within a tenth of a second. */
+const DUPLICATE_QUEUED_LOAD_COST_MS = 150
 
-/** Servers whose costs differ by less are equal: routers know states that are up to a tenth of a second apart. */
+/** Servers whose costs differ by no more than this count as equal: the states that routers see differ by up to a tenth of a second. */
 const EQUAL_COST_MS = 60
 
-/** A server and the time until it has the model. */
+/** The chosen server and the expected time until it has the model. */
 export interface LoaderChoice {
   readonly serverId: string
   readonly readyInMs: number
@@ -49,33 +49,32 @@
 const readyInMs = (times: LoadTimes, server: LoaderView): number =>
   server.busyMs + (server.isLoading ? 0 : server.roomMs + loadMs(times, server))
 
-const secondLoadMs = (servers: readonly LoaderView[]): number => {
-  if (servers.some(server => server.hasBegun)) return SECOND_LOAD_COST_MS
-  return servers.some(server => server.isLoading) ? SECOND_WANT_COST_MS : 0
+const duplicateLoadCostMs = (servers: readonly LoaderView[]): number => {
+  if (servers.some(server => server.hasBegun)) return DUPLICATE_LOAD_COST_MS
+  return servers.some(server => server.isLoading) ? DUPLICATE_QUEUED_LOAD_COST_MS : 0
 }
 
-const costOf = (times: LoadTimes, server: LoaderView, secondMs: number): number => {
+const costOf = (times: LoadTimes, server: LoaderView, duplicateMs: number): number => {
   const readyMs = readyInMs(times, server)
-  const lateMs = lateWhileAbsent(times.requestsPerS, readyMs) * LOSS_COST_MS
+  const lateMs = countLateWhileAbsent(times.requestsPerS, readyMs) * LOSS_COST_MS
   const waitMs = readyMs + lateMs + server.failureShare * FAILURE_COST_MS
   if (server.isLoading) return waitMs
   const blockedMs = loadMs(times, server) * BUSY_SHARE * Math.min(1, server.heldTokensPerS / FULL_RATE_TOKENS_PER_S)
   const coldMs = server.isInMemory || server.isOnDisk ? 0 : COLD_COST_MS
-  return waitMs + secondMs + coldMs + blockedMs + server.evictionLoss * LOSS_COST_MS + server.heldCount * HELD_COST_MS
+  return waitMs + duplicateMs + coldMs + blockedMs + server.evictionLoss * LOSS_COST_MS + server.heldCount * HELD_COST_MS
 }
 
 /**
- * The server that has the model soonest, weighed against what its other callers lose.
+ * Chooses the server that will have the model soonest, weighed against the cost for callers of its other models.
  *
- * Load pattern: many models of which each is asked for now and then, more than the engines hold. Without it a model
- * is loaded from the weight store in seconds although another engine has a copy on its disk.
- *
- * All requests that come until the model is there are late, not only the one that asks. A burst at many routers leads to one
- * load: one that has begun is joined, and of servers that are about equal all routers take the same.
+ * Load pattern: many rarely used models, more than the engines can hold. Without this choice a model is loaded from the weight
+ * store, which takes seconds, although another engine has a copy on its disk. Every request that arrives before the load ends
+ * is late, not only the one that triggers it. A burst at many routers must lead to a single load: a load that has started is
+ * joined, and among servers of about equal cost all routers choose the same one.
  */
 export const chooseLoader = (times: LoadTimes, servers: readonly LoaderView[]): LoaderChoice | undefined => {
-  const secondMs = secondLoadMs(servers)
-  const costs = new Map(servers.map(server => [server.serverId, costOf(times, server, secondMs)]))
+  const duplicateMs = duplicateLoadCostMs(servers)
+  const costs = new Map(servers.map(server => [server.serverId, costOf(times, server, duplicateMs)]))
   const leastMs = Math.min(...costs.values())
   const equal = servers.filter(server => (costs.get(server.serverId) ?? Infinity) <= leastMs + EQUAL_COST_MS)
   const [first] = rankByRendezvous(times.name, equal.map(server => server.serverId))
--- a/packages/decisions/src/placing/estimateBusy.ts
+++ b/packages/decisions/src/placing/estimateBusy.ts
@@ -1,27 +1,27 @@
-/** A load that an engine is asked for and has not begun. */
+/** A load that was requested from an engine and has not started. */
 export interface QueuedLoad {
-  /** The engine has a copy of the weights. */
+  /** The engine has a local copy of the weights, in memory or on disk. */
   readonly isAtHand: boolean
-  /** Time that the load takes alone. */
+  /** Time that the load takes while no other load slows it down. */
   readonly loadMs: number
 }
 
-/** What an engine has to do, as its agent told it; times in ms from now. */
+/** Pending work of an engine, as reported by its agent; times are in ms from now. */
 export interface EngineQueue {
-  /** Time that the load under way still takes; 0 when there is none. */
+  /** Remaining time of the current load; 0 when there is none. */
   readonly loadingLeftMs: number
-  /** Time until the engine may begin a load from the weight store. */
+  /** Time until the engine may start a load from the weight store. */
   readonly coldWaitMs: number
-  /** Time to make room for each load. */
+  /** Time to free memory for each load. */
   readonly roomMs: number
   readonly queued: readonly QueuedLoad[]
 }
 
 /**
- * Expected time until an engine has done all that it does before one more load. A load at hand passes those that come from the
- * weight store: they wait for the store and not for the engine, and take ten times as long (`planOrder`).
+ * Expected time until an engine has finished everything that precedes one more load. Loads of local copies overtake loads from
+ * the weight store, which wait for the store rather than for the engine and take ten times as long (`planOrder`).
  *
- * Guards against callers that are sent away from an idle engine because models that lie nowhere are asked for there.
+ * Otherwise callers are refused by an idle engine because models without a local copy are queued on it.
  */
 export const estimateBusyMs = ({ loadingLeftMs, coldWaitMs, roomMs, queued }: EngineQueue, isAtHand: boolean): number => {
   let busyMs = loadingLeftMs
--- a/packages/decisions/src/placing/estimatePlaceWait.test.ts
+++ b/packages/decisions/src/placing/estimatePlaceWait.test.ts
@@ -20,35 +20,35 @@
 interface Outcome {
   readonly callerCount: number
   readonly servedCount: number
-  /** Callers who left a silent stream. */
+  /** Callers that left before the first event. */
   readonly leftCount: number
 }
 
-/** One engine before callers who leave a silent stream, and come back once when they are refused. */
-const play = (perS: number, seed: number, isRefused: (waitMs: number) => boolean): Outcome => {
+/** Simulates one engine whose callers leave a stream without a first event, and retry once when they are refused. */
+const simulate = (perS: number, seed: number, isRefused: (waitMs: number) => boolean): Outcome => {
   const random = makeRandom(seed)
   const randomLength = makeRandom(seed + 100)
   const waiting: Caller[] = []
   const returning: Caller[] = []
   const endsMs: number[] = []
-  let told = { runningCount: 0, startingCount: 0 }
-  let toldMs = 0
+  let reported = { runningCount: 0, startingCount: 0 }
+  let reportedAtMs = 0
   let callerCount = 0
   let leftCount = 0
   let servedCount = 0
-  const ask = (caller: Caller): void => {
-    const waitMs = estimatePlaceWaitMs({ placeCount: PLACE_COUNT, occupancyMs: OCCUPANCY_MS, ...told })
+  const requestSlot = (caller: Caller): void => {
+    const waitMs = estimatePlaceWaitMs({ placeCount: PLACE_COUNT, occupancyMs: OCCUPANCY_MS, ...reported })
     if (!isRefused(waitMs)) waiting.push(caller)
     else if (!caller.isRetry) returning.push({ ...caller, askedMs: caller.askedMs + RETRY_MS * (1 + randomLength()), isRetry: true })
   }
   for (let nowMs = 0; nowMs < LENGTH_MS; nowMs += STEP_MS) {
     if (random() < perS * STEP_MS / 1_000) {
       callerCount += 1
-      ask({ askedMs: nowMs, isRetry: false })
+      requestSlot({ askedMs: nowMs, isRetry: false })
     }
     for (const caller of returning.filter(({ askedMs }) => askedMs <= nowMs)) {
       returning.splice(returning.indexOf(caller), 1)
-      ask(caller)
+      requestSlot(caller)
     }
     while (endsMs.length > 0 && Math.min(...endsMs) <= nowMs) endsMs.splice(endsMs.indexOf(Math.min(...endsMs)), 1)
     while (waiting.length > 0 && endsMs.length < PLACE_COUNT) {
@@ -61,44 +61,44 @@
       servedCount += 1
       endsMs.push(nowMs + OCCUPANCY_MS * (0.5 + randomLength()))
     }
-    if (nowMs - toldMs < REPORT_AGE_MS) continue
-    toldMs = nowMs
-    told = { runningCount: endsMs.length, startingCount: waiting.length }
+    if (nowMs - reportedAtMs < REPORT_AGE_MS) continue
+    reportedAtMs = nowMs
+    reported = { runningCount: endsMs.length, startingCount: waiting.length }
   }
   return { callerCount, servedCount, leftCount }
 }
 
 const isHopeless = (waitMs: number): boolean => planWait({ readyInMs: waitMs, leftMs: PATIENCE_MS }).isHopeless
 
-/** What the engine serves at most. */
+/** Requests per second that the engine can serve. */
 const FULL_PER_S = PLACE_COUNT / OCCUPANCY_MS * 1_000
 
 const SEEDS = [1, 2, 3, 4, 5]
 
-describe('wait for a place at an engine', () => {
-  it('is nothing while there is one', () => {
+describe('estimatePlaceWaitMs', () => {
+  it('is 0 while a slot is free', () => {
     expect(estimatePlaceWaitMs({ placeCount: 32, runningCount: 31, startingCount: 4, occupancyMs: 2_000 })).to.equal(0)
   })
 
-  it('grows with those that wait already', () => {
+  it('grows with the number of waiting requests', () => {
     const waitMs = (startingCount: number): number => estimatePlaceWaitMs({ placeCount: 32, runningCount: 32, startingCount, occupancyMs: 1_920 })
     expect(waitMs(0)).to.equal(60)
     expect(waitMs(9)).to.equal(600)
   })
 
-  it('refuses at once those that would leave, and serves nearly as many, under a load above what the engine serves', () => {
+  it('under overload, refuses at once callers that would leave, and serves nearly as many', () => {
     for (const seed of SEEDS) {
-      const queued = play(FULL_PER_S * 1.3, seed, () => false)
-      const refused = play(FULL_PER_S * 1.3, seed, isHopeless)
+      const queued = simulate(FULL_PER_S * 1.3, seed, () => false)
+      const refused = simulate(FULL_PER_S * 1.3, seed, isHopeless)
       expect(queued.leftCount / queued.callerCount).to.be.above(0.05)
       expect(refused.leftCount).to.be.below(queued.leftCount / 2)
       expect(refused.servedCount / queued.servedCount).to.be.above(0.97)
     }
   })
 
-  it('refuses nobody under a load that the engine serves', () => {
+  it('refuses hardly any caller under a load that the engine can serve', () => {
     for (const seed of SEEDS) {
-      const { callerCount, servedCount } = play(FULL_PER_S * 0.8, seed, isHopeless)
+      const { callerCount, servedCount } = simulate(FULL_PER_S * 0.8, seed, isHopeless)
       expect(callerCount - servedCount).to.be.below(5)
     }
   })
--- a/packages/decisions/src/placing/estimatePlaceWait.ts
+++ b/packages/decisions/src/placing/estimatePlaceWait.ts
@@ -1,21 +1,21 @@
-/** An engine as one more request finds it. */
-export interface EnginePlaces {
-  /** Requests that it runs at once. */
+/** Occupancy of an engine when one more request arrives. */
+export interface EngineSlots {
+  /** Requests that the engine runs at the same time. */
   readonly placeCount: number
   readonly runningCount: number
-  /** Requests without a first event, those that wait for a place among them. */
+  /** Requests without a first event, including those that wait for a slot. */
   readonly startingCount: number
-  /** Time for which a request keeps its place; 0 while that is not known. */
+  /** Mean time for which a request occupies its slot; 0 while unknown. */
   readonly occupancyMs: number
 }
 
 /**
- * Expected time until an engine has a place for one more request, behind all that wait.
+ * Expected time until an engine has a free slot for one more request, behind all that already wait.
  *
- * Load pattern: a model that more callers ask for than its engines have places. The queue grows until callers leave a silent stream;
- * those that would leave are told at once (`planWait`), and those before them wait no longer for it.
+ * Load pattern: a model with more callers than its engines have slots. Its queue would grow until callers abandon streams without
+ * a first event. Those that would leave are refused at once (`planWait`), so that they do not lengthen the queue.
  */
-export const estimatePlaceWaitMs = ({ placeCount, runningCount, startingCount, occupancyMs }: EnginePlaces): number => {
+export const estimatePlaceWaitMs = ({ placeCount, runningCount, startingCount, occupancyMs }: EngineSlots): number => {
   if (runningCount < placeCount) return 0
   return (startingCount + 1) * occupancyMs / placeCount
 }
--- a/packages/decisions/src/placing/isLoadNews.ts
+++ b/packages/decisions/src/placing/isLoadNews.ts
@@ -1,32 +1,32 @@
-import { batchWaitMs } from './batchWait.js'
+import { estimateBatchDelayMs } from './estimateBatchDelay.js'
 
-import type { EngineLoad } from './batchWait.js'
+import type { EngineLoad } from './estimateBatchDelay.js'
 
-/** A change of the wait at an engine, beside other engines with the same model, that changes which of them is chosen. */
+/** Change of an engine's delay that can alter the choice between engines with the same model. */
 const CHOICE_STEP_MS = 20
 
-/** The same where no other engine has the models: it shows only whether requests queue. */
+/** Threshold when no other engine has the models: routers then only need to see whether requests queue. */
 const QUEUE_STEP_MS = 200
 
-/** Time after which smaller changes are told too. */
+/** Time after which smaller changes are reported as well. */
 const REFRESH_MS = 1_000
 
-/** What routers were told of an engine's load, and when. */
-export interface ToldEngineLoad {
+/** The load that was last reported to routers, and its age. */
+export interface ReportedEngineLoad {
   readonly load: EngineLoad
   readonly ageMs: number
-  /** Another engine holds one of its models too. */
+  /** Another engine also holds one of this engine's models. */
   readonly hasReplicaElsewhere: boolean
 }
 
 /**
- * Whether an engine's load has changed so that routers must hear of it.
+ * Whether an engine's load has changed enough to be reported to routers.
  *
- * Load pattern: many engines with rare models before many routers. The load changes with each request, and told each time it is
- * most of the messages between them, though a router that knows one engine for a model has nothing to choose.
+ * Load pattern: many engines with rarely used models, and many routers. The load changes with each request, and reporting every
+ * change would make up most of the messages, although a router has no choice to make when only one engine has the model.
  */
-export const isLoadNews = ({ load, ageMs, hasReplicaElsewhere }: ToldEngineLoad, now: EngineLoad): boolean => {
-  const changeMs = Math.abs(batchWaitMs(now) - batchWaitMs(load))
+export const isLoadNews = ({ load, ageMs, hasReplicaElsewhere }: ReportedEngineLoad, now: EngineLoad): boolean => {
+  const changeMs = Math.abs(estimateBatchDelayMs(now) - estimateBatchDelayMs(load))
   if (changeMs >= (hasReplicaElsewhere ? CHOICE_STEP_MS : QUEUE_STEP_MS)) return true
   return changeMs > 0 && ageMs >= REFRESH_MS
 }
--- a/packages/decisions/src/placing/lateRequests.ts
+++ b/packages/decisions/src/placing/lateRequests.ts
@@ -2,36 +2,36 @@
 
 const MS_PER_S = 1_000
 
-/** Time that a long prompt takes an engine; a queue of such prompts is what a busy engine's callers wait behind. */
+/** Time that an engine takes to compute a long prompt. Requests at a busy engine wait behind a queue of such prompts. */
 const PROMPT_S = 0.25
 
-/** Use beyond which a queue grows without end; just below it the wait is 19 prompts. */
+/** Cap on utilisation, because the queue grows without bound as it approaches 1. At the cap the wait is 19 prompts. */
 const FULL_USE = 0.95
 
-/** Demand for one model over all routers. */
+/** Demand for one model, summed over all routers. */
 export interface ModelLoad {
   readonly requestsPerS: number
   readonly promptTokensPerS: number
 }
 
-/** Share of requests that a wait of this length makes late. */
+/** Share of requests that become late through a wait of this length. */
 export const lateShare = (waitS: number): number => Math.min(1, waitS / LATE_WAIT_S)
 
-/** Requests within the horizon. */
+/** Expected requests within the horizon. */
 export const requestsAhead = ({ requestsPerS }: Pick<ModelLoad, 'requestsPerS'>): number => requestsPerS * LATE_HORIZON_S
 
-/** Requests within the horizon that are late because the model is nowhere for `absentMs`: those that come until it is back. */
-export const lateWhileAbsent = (requestsPerS: number, absentMs: number): number => {
+/** Requests within the horizon that become late while no server holds the model, for `absentMs`: those that arrive meanwhile. */
+export const countLateWhileAbsent = (requestsPerS: number, absentMs: number): number => {
   const absentS = absentMs / MS_PER_S
   return Math.min(requestsAhead({ requestsPerS }), 1 + requestsPerS * absentS) * lateShare(absentS)
 }
 
-/** Mean wait in front of a model's replicas: it grows with use / (1 - use), as in any queue. */
-const queueS = (load: ModelLoad, replicaCount: number): number => {
+/** Mean queueing delay at a model's replicas; it grows with utilisation / (1 - utilisation), as in queueing theory. */
+const queueWaitS = (load: ModelLoad, replicaCount: number): number => {
   const use = Math.min(FULL_USE, load.promptTokensPerS / (PROMPT_TOKENS_PER_MS * MS_PER_S) / replicaCount)
   return use / (1 - use) * PROMPT_S
 }
 
-/** Requests within the horizon that a model's queue makes late when it goes from one number of replicas to a smaller one. */
+/** Requests within the horizon that become late through queueing when a model's number of replicas is reduced. */
 export const lateByFewer = (load: ModelLoad, replicaCount: number, fewerCount: number): number =>
-  requestsAhead(load) * Math.max(0, lateShare(queueS(load, fewerCount)) - lateShare(queueS(load, replicaCount)))
+  requestsAhead(load) * Math.max(0, lateShare(queueWaitS(load, fewerCount)) - lateShare(queueWaitS(load, replicaCount)))
--- a/packages/decisions/src/placing/placing.test.ts
+++ b/packages/decisions/src/placing/placing.test.ts
@@ -31,7 +31,7 @@
 
 const orderOf = (view: EngineView): PlannedOrder | undefined => planOrder(view).order
 
-/** A plan that neither orders anything nor has a model make room. */
+/** A plan without an order and without a model to drain. */
 const NOTHING: OrderPlan = { order: undefined, drainingModel: '' }
 
 const TIMES = { name: 'm', coldLoadMs: 6_000, diskLoadMs: 440, memoryLoadMs: 320, requestsPerS: 0.1 }
@@ -40,117 +40,117 @@
   rankServers({ promptTokens, dataCentre: 'east' }, servers)[0]?.serverId
 
 describe('ranking of servers', () => {
-  it('keeps two long prompts apart', () => {
+  it('sends two long prompts to different servers', () => {
     expect(firstOf(9_000, [server('a', { pendingTokens: 9_000 }), server('b')])).to.equal('b')
   })
 
-  it('goes where the prompt begins in cache', () => {
+  it('prefers a server that has the prompt prefix in its cache', () => {
     expect(firstOf(9_000, [server('a'), server('b', { cachedTokens: 6_300 })])).to.equal('b')
   })
 
-  it('leaves a full cache for an idle server when the queue costs more than it saves', () => {
+  it('prefers an idle server when the queue costs more than the cached prefix saves', () => {
     expect(firstOf(9_000, [server('a'), server('b', { cachedTokens: 6_300, pendingTokens: 20_000 })])).to.equal('a')
   })
 
-  it('avoids a server that fails fast', () => {
+  it('avoids a server whose requests fail quickly', () => {
     expect(firstOf(100, [server('a', { failureShare: 0.5 }), server('b', { runningCount: 20 })])).to.equal('b')
   })
 })
 
 describe('choice of a loader', () => {
-  it('takes a copy on disk before the weight store', () => {
+  it('prefers a copy on disk to the weight store', () => {
     const choice = chooseLoader(TIMES, [loader('a'), loader('b', { isOnDisk: true, busyMs: 500 })])
     expect(choice).to.deep.equal({ serverId: 'b', readyInMs: 940 })
   })
 
-  it('joins a load that is under way', () => {
-    // A burst for one model reaches many routers; each must lead to the same load.
+  it('joins a load in progress', () => {
+    // A burst for one model arrives at many routers; all of them must share one load.
     const choice = chooseLoader(TIMES, [loader('a', { isOnDisk: true }), loader('b', { isLoading: true, busyMs: 300 })])
     expect(choice?.serverId).to.equal('b')
   })
 
-  it('goes where the weight store may be used now', () => {
+  it('prefers a server that may use the weight store now', () => {
     const choice = chooseLoader(TIMES, [loader('a', { coldWaitMs: 3_000 }), loader('b', { busyMs: 500 })])
     expect(choice).to.deep.equal({ serverId: 'b', readyInMs: 6_500 })
   })
 
-  it('keeps long loads from busy servers', () => {
+  it('avoids long loads on busy servers', () => {
     const choice = chooseLoader(TIMES, [loader('a', { heldTokensPerS: 30_000 }), loader('b', { busyMs: 1_000 })])
     expect(choice?.serverId).to.equal('b')
   })
 
-  it('weighs what other callers lose', () => {
+  it('takes the cost for other callers into account', () => {
     const choice = chooseLoader(TIMES, [loader('a', { isOnDisk: true, evictionLoss: 4 }), loader('b', { isOnDisk: true })])
     expect(choice?.serverId).to.equal('b')
   })
 
-  it('counts all that wait until a model that many ask for is there', () => {
-    // Guards against many callers who wait for a long load as it would suit one of them.
+  it('takes all requests into account that arrive before the load ends', () => {
+    // Guards against many callers that wait for a long load because it would be the best choice for a single one.
     const servers = [loader('loading', { isLoading: true, hasBegun: true, busyMs: 5_500 }), loader('copy', { isOnDisk: true, evictionLoss: 25 })]
     expect(chooseLoader(TIMES, servers)?.serverId).to.equal('loading')
     expect(chooseLoader({ ...TIMES, requestsPerS: 20 }, servers)?.serverId).to.equal('copy')
   })
 
-  it('is the same at all routers where servers are about equal', () => {
-    // Guards against two loads of one model for one burst.
+  it('is the same at all routers when servers are about equal', () => {
+    // Guards against two loads of the same model for one burst.
     const names = ['a', 'b', 'c', 'd']
     const first = chooseLoader(TIMES, names.map((name, index) => loader(name, { isOnDisk: true, roomMs: index * 10 })))
     const second = chooseLoader(TIMES, [...names].reverse().map((name, index) => loader(name, { isOnDisk: true, roomMs: index * 10 })))
     expect(second?.serverId).to.equal(first?.serverId)
   })
 
-  it('spreads models over servers that are equal', () => {
+  it('spreads models over equal servers', () => {
     const servers = ['a', 'b', 'c', 'd'].map(name => loader(name))
     const chosen = new Set(Array.from({ length: 20 }, (_, index) => chooseLoader({ ...TIMES, name: `m${index}` }, servers)?.serverId))
     expect(chosen.size).to.equal(4)
   })
 
-  it('begins no second load that would save less than it takes', () => {
+  it('starts no second load that saves less than it costs', () => {
     const begun = loader('a', { isLoading: true, hasBegun: true, busyMs: 700 })
     expect(chooseLoader(TIMES, [begun, loader('b', { isOnDisk: true })])?.serverId).to.equal('a')
     const slow = loader('a', { isLoading: true, hasBegun: true, busyMs: 5_000 })
     expect(chooseLoader(TIMES, [slow, loader('b', { isOnDisk: true })])?.serverId).to.equal('b')
   })
 
-  it('has none without an agent', () => {
+  it('is undefined without candidates', () => {
     expect(chooseLoader(TIMES, [])).to.equal(undefined)
   })
 })
 
 describe('choice of victims', () => {
-  it('takes a spare replica before a sole one', () => {
+  it('evicts one of several replicas rather than an only one', () => {
     const eviction = chooseVictims([placed('sole', { requestsPerS: 0.1 }), placed('spare', { replicaCount: 4, requestsPerS: 5 })], 70_000)
     expect(eviction?.modelNames).to.deep.equal(['spare'])
   })
 
-  it('spares a replica without which the others are too busy', () => {
+  it('keeps a replica whose removal would overload the others', () => {
     const busy = placed('busy', { replicaCount: 2, requestsPerS: 5, promptTokensPerS: 30_000 })
     expect(evictionLossOf(busy)).to.be.greaterThan(evictionLossOf(placed('rare', { requestsPerS: 0.1 })))
     expect(chooseVictims([busy, placed('rare', { requestsPerS: 0.1 })], 70_000)?.modelNames).to.deep.equal(['rare'])
   })
 
-  it('spares what has several replicas before demand is known', () => {
-    // After a start nobody has asked for anything. What was placed on many engines is what will be asked for most.
+  it('keeps models with several replicas while demand is unknown', () => {
+    // There are no requests yet after a start. A model that was placed on many engines will get the most.
     const unknown = { isDemandKnown: false, requestsPerS: 0, promptTokensPerS: 0 }
     const eviction = chooseVictims([placed('popular', { ...unknown, replicaCount: 5 }), placed('rare', unknown)], 70_000)
     expect(eviction?.modelNames).to.deep.equal(['rare'])
   })
 
-  it('spares what runs while something idle is there', () => {
-    // Guards against an engine that takes no orders until long streams end.
+  it('keeps a running model while an idle one can be evicted', () => {
+    // Guards against an engine that accepts no orders until long streams end.
     const eviction = chooseVictims([placed('streaming', { isRunning: true, replicaCount: 2, requestsPerS: 0 }), placed('idle')], 70_000)
     expect(eviction?.modelNames).to.deep.equal(['idle'])
   })
 
-  it('expects room soon only where something idle may go', () => {
+  it('expects free memory soon only when an idle model can be evicted', () => {
     expect(estimateRoomMs([placed('a', { isRunning: true }), placed('b')], 1)).to.be.below(200)
     expect(estimateRoomMs([placed('a', { isRunning: true, requestsPerS: 0.1 })], 1)).to.be.within(2_000, 2_100)
     expect(estimateRoomMs([placed('a', { isRunning: true, requestsPerS: 5 })], 1)).to.be.above(4_000)
     expect(estimateRoomMs([placed('a')], 0)).to.equal(0)
   })
 
-  it('expects room just when an order makes it', () => {
-    // A router that expects room sooner than the agent makes it sends every caller of the model into the same vain wait.
+  it('expects free memory at the moment when the planned order frees it', () => {
+    // If routers expected it earlier than the agent frees it, they would let every caller of the model wait for too long.
     for (const requestsPerS of [0.1, 1, 5, 20]) {
       const resident = placed('busy', { isRunning: true, requestsPerS })
       const drainedAt = (ageMs: number) => planOrder(engine({ residents: [resident], freeMb: 0, wants: [want('new', { ageMs })] })).drainingModel
@@ -160,25 +160,25 @@
     }
   })
 
-  it('spares the second replica of a busy model from one caller of a rare one', () => {
-    // Guards against a busy model's queue for the sake of one caller.
+  it('keeps the second replica of a busy model when one caller wants a rarely used one', () => {
+    // Guards against an overloaded busy model for the sake of one caller.
     const busy = placed('busy', { replicaCount: 2, requestsPerS: 4, promptTokensPerS: 20_000, idleMs: 200 })
     expect(planOrder(engine({ residents: [busy], freeMb: 0, wants: [want('rare')] }))).to.deep.equal(NOTHING)
   })
 
-  it('takes several when one is too small', () => {
+  it('evicts several models when one is too small', () => {
     const eviction = chooseVictims([placed('a', { weightsMb: 35_000 }), placed('b', { weightsMb: 35_000 })], 70_000)
     expect(eviction?.modelNames).to.have.members(['a', 'b'])
   })
 
-  it('spares what has just come', () => {
-    // Two models that swap places with each request would serve nobody in time.
+  it('keeps a model that has just been loaded', () => {
+    // Two models that evict each other with each request would serve no caller in time.
     expect(chooseVictims([placed('new', { heldMs: 100 })], 70_000)).to.equal(undefined)
   })
 })
 
 describe('plan of replicas', () => {
-  it('asks for one more where demand outgrows them', () => {
+  it('adds a replica when demand exceeds the capacity of the existing ones', () => {
     const models = [
       { modelName: 'calm', promptTokensPerS: 1_000, replicaCount: 1, comingCount: 0 },
       { modelName: 'risen', promptTokensPerS: 40_000, replicaCount: 1, comingCount: 0 }
@@ -186,7 +186,7 @@
     expect(planReplicas(models)).to.deep.equal(['risen'])
   })
 
-  it('counts what is coming', () => {
+  it('counts replicas that are being loaded', () => {
     const needed = neededReplicas(40_000)
     const model = { modelName: 'risen', promptTokensPerS: 40_000, replicaCount: 1, comingCount: needed - 1 }
     expect(planReplicas([model])).to.deep.equal([])
@@ -194,81 +194,81 @@
 })
 
 describe('plan of orders', () => {
-  it('fetches an adapter beside its model', () => {
+  it('loads an adapter when its model is loaded', () => {
     const order = orderOf(engine({ residents: [placed('m')], wants: [want('m', { adapterName: 'a1' })] }))
     expect(order).to.deep.include({ operation: 'load', modelName: 'm', adapterName: 'a1' })
   })
 
-  it('frees a place of the adapter that was idle longest', () => {
+  it('frees the slot of the adapter that has been idle longest', () => {
     const adapters = [{ modelName: 'm', adapterName: 'a1', idleMs: 500 }, { modelName: 'm', adapterName: 'a2', idleMs: 9_000 }]
     const order = orderOf(engine({ residents: [placed('m')], adapters, freeAdapterSlots: 0, wants: [want('m', { adapterName: 'a3' })] }))
     expect(order).to.deep.include({ operation: 'unload', adapterName: 'a2' })
   })
 
-  it('waits for an adapter that is on its way', () => {
+  it('orders nothing for an adapter that is being loaded', () => {
     expect(planOrder(engine({ residents: [placed('m')], adapterKeys: new Set(['m/a1']), wants: [want('m', { adapterName: 'a1' })] }))).to.deep.equal(NOTHING)
   })
 
-  it('makes room before it loads', () => {
-    // An engine that is ordered to load more than fits crashes with all that it runs.
+  it('frees memory before it loads', () => {
+    // An engine that is ordered to load more than fits crashes, together with all running requests.
     const order = orderOf(engine({ residents: [placed('old')], freeMb: 10, wants: [want('new')] }))
     expect(order).to.deep.include({ operation: 'unload', modelName: 'old' })
   })
 
-  it('gives no second order while one is under way', () => {
+  it('gives no second order while one is in progress', () => {
     const wants = [want('new'), want('m', { adapterName: 'a1' })]
     expect(planOrder(engine({ residents: [placed('m')], isBusy: true, wants }))).to.deep.equal(NOTHING)
   })
 
-  it('serves who waits before what is wanted ahead', () => {
+  it('serves waiting requests before loads ahead of demand', () => {
     const wants = [want('ahead', { waitingCount: 0, ageMs: 9_000 }), want('awaited', { isAtHand: false })]
     expect(orderOf(engine({ wants }))?.modelName).to.equal('awaited')
   })
 
-  it('serves the many before the one, by the time that it takes', () => {
-    // Guards against a busy model that waits behind one rare model after the other.
+  it('serves many waiting requests before a single one, in relation to the load time', () => {
+    // Guards against a busy model that waits behind a series of rarely used ones.
     const wants = [want('rare', { ageMs: 2_000 }), want('busy', { waitingCount: 32, isAtHand: false, loadMs: 6_000 })]
     expect(orderOf(engine({ wants }))?.modelName).to.equal('busy')
     const few = [want('rare'), want('busy', { waitingCount: 3, isAtHand: false, loadMs: 6_000, ageMs: 2_000 })]
     expect(orderOf(engine({ wants: few }))?.modelName).to.equal('rare')
   })
 
-  it('brings the second replica of an overloaded model before a rare model', () => {
-    // Guards against a replica that never has its turn, as somebody always waits for a rare model.
+  it('loads the second replica of an overloaded model before a rarely used model', () => {
+    // Guards against a replica that is never loaded because there is always a request waiting for a rarely used model.
     const wants = [want('rare'), want('busy', { waitingCount: 0, lateCount: 100 })]
     expect(orderOf(engine({ wants }))?.modelName).to.equal('busy')
   })
 
-  it('takes a copy at hand on another engine before the weight store, though it takes longer', () => {
+  it('prefers a local copy on another engine to the weight store, even if it takes longer', () => {
     const choice = chooseLoader(TIMES, [loader('a'), loader('b', { isOnDisk: true, busyMs: 7_000 })])
     expect(choice?.serverId).to.equal('b')
   })
 
-  it('holds back from the weight store until it may', () => {
+  it('waits until it may load from the weight store', () => {
     expect(planOrder(engine({ mayLoadCold: false, wants: [want('new', { isAtHand: false })] }))).to.deep.equal(NOTHING)
   })
 
-  it('repeats a load whose order got no answer', () => {
-    // Guards against a lost answer that costs those who wait another turn at the weight store.
+  it('repeats a load order that got no answer', () => {
+    // Guards against a lost answer that makes waiting requests queue for the weight store again.
     const view = engine({ mayLoadCold: false, unansweredLoad: 'new', wants: [want('new', { isAtHand: false })] })
     expect(orderOf(view)?.modelName).to.equal('new')
   })
 
-  it('evicts for a replica that relieves more than it costs', () => {
+  it('evicts for a replica that saves more late requests than it causes', () => {
     const residents = [placed('rare', { requestsPerS: 0.5 })]
     const order = orderOf(engine({ residents, freeMb: 0, wants: [want('hot', { waitingCount: 0, lateCount: 4 })] }))
     expect(order).to.deep.include({ operation: 'unload', modelName: 'rare' })
   })
 
-  it('lets one request wait rather than take a busy model from many', () => {
-    // Guards against a busy model's only replica going for one caller.
+  it('lets one request wait rather than evict a busy model', () => {
+    // Guards against the eviction of a busy model's only replica for one caller.
     const view = engine({ residents: [placed('busy', { requestsPerS: 10 })], freeMb: 0, wants: [want('rare')] })
     expect(planOrder(view)).to.deep.equal(NOTHING)
     expect(orderOf({ ...view, wants: [want('rare', { ageMs: 4_000 })] })).to.deep.include({ operation: 'unload' })
   })
 
-  it('takes room from models in steady use for one that many wait for', () => {
-    // Guards against a model that is kept out for ever by two in steady use.
+  it('evicts steadily used models for one that many requests wait for', () => {
+    // Guards against two steadily used models that keep out a third one indefinitely.
     const residents = ['first', 'second'].map(name => placed(name, { isRunning: true, idleMs: 50, requestsPerS: 1 }))
     const few = engine({ residents, freeMb: 0, wants: [want('third', { waitingCount: 4 })] })
     expect(planOrder(few)).to.deep.equal({ order: undefined, drainingModel: 'first' })
@@ -276,8 +276,8 @@
     expect(planOrder(one)).to.deep.equal(NOTHING)
   })
 
-  it('orders nothing that would wait for running streams', () => {
-    // Guards against adapters that wait for an unload, which waits for a stream.
+  it('drains a running model and orders other work meanwhile', () => {
+    // Guards against adapters that wait for an unload, which in turn waits for a stream.
     const running = placed('running', { isRunning: true, requestsPerS: 0.3 })
     const busy = placed('busy', { requestsPerS: 20, promptTokensPerS: 10_000 })
     const wants = [want('rare', { ageMs: 4_000 }), want('busy', { adapterName: 'a1', waitingCount: 0 })]
@@ -289,13 +289,13 @@
     expect(later.order).to.deep.include({ operation: 'unload', modelName: 'running' })
   })
 
-  it('drains during a load what the next one needs gone', () => {
+  it('drains, during a load, the model that the next load has to evict', () => {
     const running = placed('running', { isRunning: true, requestsPerS: 0.3 })
     const loading = engine({ residents: [running], freeMb: 0, isBusy: true, comingModel: 'first', wants: [want('first'), want('second', { ageMs: 4_000 })] })
     expect(planOrder(loading)).to.deep.equal({ order: undefined, drainingModel: 'running' })
   })
 
-  it('evicts nothing busy for what nobody waits for', () => {
+  it('evicts no busy model for a load ahead of demand', () => {
     expect(planOrder(engine({ residents: [placed('busy', { requestsPerS: 3 })], freeMb: 0, wants: [want('new', { waitingCount: 0 })] }))).to.deep.equal(NOTHING)
   })
 })
--- a/packages/decisions/src/placing/planOrder.ts
+++ b/packages/decisions/src/placing/planOrder.ts
@@ -1,52 +1,52 @@
 import { chooseVictims } from './chooseVictims.js'
-import { WAITING_LOSS, WAIT_STEP_MS } from './constants.js'
+import { WAITING_LOSS_LIMIT, WAIT_PER_LOSS_MS } from './constants.js'
 
 import type { PlacedModel } from './types.js'
 
-/** An adapter that an engine holds. */
+/** An adapter that is loaded on an engine. */
 export interface ResidentAdapter {
   readonly modelName: string
   readonly adapterName: string
   readonly idleMs: number
 }
 
-/** Something that routers want in place. */
+/** A model or adapter that routers requested from an engine. */
 export interface WantView {
   readonly modelName: string
-  /** Empty when the model alone is wanted. */
+  /** Empty when only the model is requested. */
   readonly adapterName: string
-  /** Requests that wait; 0 when it is wanted ahead of any. */
+  /** Requests that wait for it; 0 when it is loaded ahead of demand. */
   readonly waitingCount: number
-  /** Requests of the next seconds that are late without it, beside those that wait. */
+  /** Requests within the horizon that become late without it, excluding those that already wait. */
   readonly lateCount: number
   readonly ageMs: number
   readonly weightsMb: number
   readonly adapterMb: number
   readonly isAtHand: boolean
-  /** Time that its load takes the engine. */
+  /** Time for which loading it occupies the engine. */
   readonly loadMs: number
 }
 
-/** One engine and what is wanted of it. */
+/** State of one engine and everything requested from it. */
 export interface EngineView {
   readonly residents: readonly PlacedModel[]
   readonly adapters: readonly ResidentAdapter[]
-  /** Adapters held or being fetched, as `model/adapter`. */
+  /** Adapters that are loaded or being loaded, as `model/adapter`. */
   readonly adapterKeys: ReadonlySet<string>
   readonly freeMb: number
   readonly freeAdapterSlots: number
-  /** An order is being carried out: the engine turns every other one away. */
+  /** An order is in progress; the engine rejects any other one until it ends. */
   readonly isBusy: boolean
-  /** A load from the weight store may begin now. */
+  /** A load from the weight store may start now. */
   readonly mayLoadCold: boolean
-  /** Model that is being loaded; empty when none. Its room is not free any more. */
+  /** Model that is being loaded; empty when none is. Its memory no longer counts as free. */
   readonly comingModel: string
-  /** Model whose load was ordered without an answer; asked for again it counts as the same load. Empty when none. */
+  /** Model whose load order has had no answer; ordering it again does not count as another load. Empty when none. */
   readonly unansweredLoad: string
   readonly wants: readonly WantView[]
 }
 
-/** The next order to give. */
+/** The next order to send to the engine. */
 export interface PlannedOrder {
   readonly operation: 'load' | 'unload'
   readonly modelName: string
@@ -54,26 +54,26 @@
   readonly isCold: boolean
 }
 
-/** What to do next. */
+/** Next steps for an engine. */
 export interface OrderPlan {
   readonly order: PlannedOrder | undefined
-  /** Model that takes no new requests, so that it can be unloaded once those that run have ended; empty when none. */
+  /** Model that accepts no new requests, so that it can be unloaded once its running requests end; empty when none. */
   readonly drainingModel: string
 }
 
-/** An adapter in use is not unloaded by the engine; one that was used this lately is likely to be. */
+/** Minimum idle time of an adapter before it is unloaded: the engine refuses to unload one in use, and a recently used one may be. */
 const ADAPTER_IDLE_MS = 200
 
-/** Requests that may be late for a model that nobody waits for yet. */
+/** Requests that may become late for a model that is loaded ahead of demand. */
 const PRELOAD_LOSS_LIMIT = 0.2
 
-/** Part of a replica's gain that its room may cost others: demand moves, and both loads take the engine's time. */
+/** Share of a new replica's gain that its eviction may cost: demand moves, and both loads occupy the engine. */
 const GAIN_SHARE = 0.5
 
-/** Requests that may be late for a want. */
+/** Number of requests that may become late to make room for a model. */
 const lossLimitOf = (want: WantView): number => {
   const ahead = Math.max(PRELOAD_LOSS_LIMIT, want.lateCount * GAIN_SHARE)
-  return want.waitingCount === 0 ? ahead : want.waitingCount * (WAITING_LOSS + want.ageMs / WAIT_STEP_MS) + want.lateCount * GAIN_SHARE
+  return want.waitingCount === 0 ? ahead : want.waitingCount * (WAITING_LOSS_LIMIT + want.ageMs / WAIT_PER_LOSS_MS) + want.lateCount * GAIN_SHARE
 }
 
 const adapterKey = (modelName: string, adapterName: string): string => `${modelName}/${adapterName}`
@@ -122,11 +122,11 @@
 }
 
 /**
- * The next order on a whole model. A model that must go while requests run on it takes no new ones and is unloaded after
- * their end.
+ * Plans the next order for a model. A model that is to be evicted while it runs requests is drained: it accepts no new ones and
+ * is unloaded after they end.
  *
- * Load pattern: rare models that take turns on an engine, beside busy ones. An engine that is ordered to unload a model in use
- * waits for its streams, and takes no other order meanwhile: other models and adapters would wait with it.
+ * Load pattern: rarely used models that take turns on an engine next to busy ones. An engine that is ordered to unload a model in
+ * use waits for its streams and accepts no other order meanwhile, so other models and adapters would wait as well.
  */
 const planModels = (engine: EngineView, held: ReadonlySet<string>, wants: readonly WantView[]): OrderPlan => {
   let drainingModel = ''
@@ -139,28 +139,28 @@
   return { order: undefined, drainingModel }
 }
 
-/** Requests served in time for each ms that the engine takes no other order. */
-const densityOf = (want: WantView): number => (want.waitingCount + want.lateCount * GAIN_SHARE) / Math.max(1, want.loadMs)
+/** Requests served in time per ms for which the load occupies the engine. */
+const valuePerLoadMs = (want: WantView): number => (want.waitingCount + want.lateCount * GAIN_SHARE) / Math.max(1, want.loadMs)
 
 /**
- * What serves most requests for the time that it takes goes first, then the longest wait.
- * By age alone the many callers of a busy model wait behind one after the other for rare ones. Nor do those that wait always go
- * before a replica that nobody waits for: beside rare models somebody always waits, and a busy model's replica never has its turn.
+ * Sorts by requests served per ms of engine time, then by age. By age alone, the many callers of a busy model would wait behind a
+ * series of rarely used ones. Requests that wait do not always take precedence over a replica loaded ahead of demand: with many
+ * rarely used models there is always some request waiting, and the busy model would never get its replica.
  */
-const byUrgency = (a: WantView, b: WantView): number =>
-  densityOf(b) - densityOf(a) ||
+const compareUrgency = (a: WantView, b: WantView): number =>
+  valuePerLoadMs(b) - valuePerLoadMs(a) ||
   b.ageMs - a.ageMs
 
 /**
- * The next order for an engine, if anything is wanted and possible now, and which model makes room for a later one.
+ * Plans the next order for an engine, if something is requested and possible now, and selects the model to drain for a later one.
  *
- * Load pattern: a burst for a model that is not there, beside adapters for those that are. Adapters go first: they take
- * 5 ms, and behind a load they would wait for seconds. Room is made before a load is ordered, by the engine's own figures, so that weights
- * and adapters never exceed what it holds.
+ * Load pattern: a burst for a model that is not loaded, together with adapters for models that are. Adapters take precedence: they
+ * load in 5 ms and would wait for seconds behind a model load. Memory is freed before a load is ordered, according to the
+ * engine's own figures, so that weights and adapters never exceed its capacity.
  */
 export const planOrder = (engine: EngineView): OrderPlan => {
   const held = new Set(engine.residents.map(resident => resident.modelName))
-  const wants = [...engine.wants].sort(byUrgency)
+  const wants = [...engine.wants].sort(compareUrgency)
   const { order, drainingModel } = planModels(engine, held, wants)
   if (engine.isBusy) return { order: undefined, drainingModel }
   return { order: planAdapters(engine, held, wants) ?? order, drainingModel }
--- a/packages/decisions/src/placing/planWait.ts
+++ b/packages/decisions/src/placing/planWait.ts
@@ -1,33 +1,33 @@
-/** Share of a request's time that a load may take; the rest is for queueing and computing. */
+/** Share of a request's remaining time that a load may take; the rest is reserved for queueing and computing. */
 const LOAD_SHARE = 0.85
 
 /**
- * Share of a caller's patience after which it is refused when a load takes longer than was expected: it can come back,
- * where one that is kept until it leaves hears nothing.
+ * Share of a caller's remaining time after which it is refused if a load takes longer than expected. A refused caller can
+ * retry, whereas one that waits until it leaves gets no answer.
  */
 const WAIT_SHARE = 0.8
 
-/** What one request would wait for. */
+/** The expected wait of a request and the time that its caller has left. */
 export interface WaitView {
-  /** Expected time until it is there. */
+  /** Expected time until the model or adapter is ready. */
   readonly readyInMs: number
-  /** Time that the caller still waits. */
+  /** Time until the caller leaves. */
   readonly leftMs: number
 }
 
-/** Whether a request waits, and for how long. */
+/** Whether a request waits, and how long the load that it requested stays wanted. */
 export interface WaitPlan {
-  /** It comes too late for this request; its caller hears at once when to come back. */
+  /** The load ends too late for this request, whose caller is refused at once with the time after which to retry. */
   readonly isHopeless: boolean
-  /** Time after which the one who brings it may forget it: a refused caller returns for it. */
+  /** Time after which the agent may drop the requested load. It outlasts a refusal, because the refused caller retries. */
   readonly keptMs: number
 }
 
 /**
- * Whether a request waits for a model or an adapter.
+ * Decides whether a request waits for a model or an adapter.
  *
- * Load pattern: callers of an engine that takes no order for seconds, as it loads another model. Kept for a fixed time they
- * are refused late and come back no later for it. Told the time at once they return when it is there.
+ * Load pattern: callers of an engine that accepts no order for seconds because it is loading another model. With a fixed maximum
+ * wait they are refused late and return too late. Callers that get the expected time at once return when the model is ready.
  */
 export const planWait = ({ readyInMs, leftMs }: WaitView): WaitPlan => {
   const isHopeless = readyInMs > leftMs * LOAD_SHARE
--- a/packages/decisions/src/placing/storePace.ts
+++ b/packages/decisions/src/placing/storePace.ts
@@ -1,46 +1,46 @@
-/** What is known of how many loads the weight store carries at full speed. A plain value. */
+/** Estimate of how many concurrent loads the weight store serves at full speed. A plain value. */
 export interface StorePace {
-  /** Loads that may be under way at a time. */
+  /** Loads that may run at the same time. */
   readonly fullSpeedCount: number
-  /** When fewer than were tried turned out to be too many. */
-  readonly loweredMs: number
+  /** When the count was last lowered. */
+  readonly loweredAtMs: number
 }
 
-/** One load from the weight store, as far as it has come. */
-export interface SeenLoad {
-  /** Time that it takes alone. */
+/** Progress of one load from the weight store. */
+export interface LoadObservation {
+  /** Time that the load takes without concurrent loads. */
   readonly aloneMs: number
   readonly tookMs: number
-  /** Loads that were under way when it began, itself counted. */
+  /** Loads that were running when this one started, including itself. */
   readonly atOnceCount: number
   readonly hasEnded: boolean
 }
 
-/** Loads to begin with: two show within one load's time which way to go. */
-const FIRST_COUNT = 2
+/** Initial number of concurrent loads. With two, the duration of a single load shows whether the count is too high or too low. */
+const INITIAL_COUNT = 2
 
-/** A load that takes this many times its time alone was slowed by others. */
-const SLOWED = 1.25
+/** A load that takes this many times its duration without concurrent loads was slowed down by others. */
+const SLOWDOWN_THRESHOLD = 1.25
 
-/** Time for which a lower count is kept before one more is tried: a load or two of the slowest kind. */
-const KEEP_LOWERED_MS = 20_000
+/** Time after a reduction before a higher count is tried again: one or two loads of the slowest kind. */
+const RAISE_DELAY_MS = 20_000
 
-/** The pace of a store of which nothing is known. */
-export const firstPace: StorePace = { fullSpeedCount: FIRST_COUNT, loweredMs: -Infinity }
+/** Initial estimate for a store without observations. */
+export const firstPace: StorePace = { fullSpeedCount: INITIAL_COUNT, loweredAtMs: -Infinity }
 
 /**
- * Takes in one load.
+ * Updates the estimate with one observed load.
  *
- * Load pattern: rare models by the dozen, each asked for now and then, before a weight store that shares its speed among
- * all loads. Without a bound forty engines load at once, each takes forty times as long, and none of them fetches an
- * adapter meanwhile. The platform does not say how many run at full speed; how long they take does.
+ * Load pattern: dozens of rarely used models, loaded from a weight store that divides its bandwidth among all loads. Without a
+ * limit forty engines load at once, each load takes forty times as long, and none of these engines loads an adapter meanwhile.
+ * The platform does not state how many loads run at full speed, so the limit is derived from how long loads take.
  */
-export const notePace = (pace: StorePace, load: SeenLoad, nowMs: number): StorePace => {
-  const isSlowed = load.tookMs > load.aloneMs * SLOWED
+export const notePace = (pace: StorePace, load: LoadObservation, nowMs: number): StorePace => {
+  const isSlowed = load.tookMs > load.aloneMs * SLOWDOWN_THRESHOLD
   if (isSlowed) {
-    const carried = Math.max(1, Math.round(load.atOnceCount * load.aloneMs / load.tookMs))
-    return carried < pace.fullSpeedCount ? { fullSpeedCount: carried, loweredMs: nowMs } : pace
+    const sustainedCount = Math.max(1, Math.round(load.atOnceCount * load.aloneMs / load.tookMs))
+    return sustainedCount < pace.fullSpeedCount ? { fullSpeedCount: sustainedCount, loweredAtMs: nowMs } : pace
   }
-  const mayGrow = load.hasEnded && load.atOnceCount >= pace.fullSpeedCount && nowMs - pace.loweredMs > KEEP_LOWERED_MS
+  const mayGrow = load.hasEnded && load.atOnceCount >= pace.fullSpeedCount && nowMs - pace.loweredAtMs > RAISE_DELAY_MS
   return mayGrow ? { ...pace, fullSpeedCount: load.atOnceCount + 1 } : pace
 }
--- a/packages/decisions/src/placing/types.ts
+++ b/packages/decisions/src/placing/types.ts
@@ -2,16 +2,16 @@
 export interface ServerView {
   readonly serverId: string
   readonly dataCentre: string
-  /** Time until the request's adapter is in place; 0 when it is. */
+  /** Expected time until the request's adapter is loaded; 0 when it already is. */
   readonly adapterWaitMs: number
-  /** Prompt tokens sent there that have not led to a first event. */
+  /** Prompt tokens of requests sent to the server that have not produced a first event yet. */
   readonly pendingTokens: number
   readonly runningCount: number
-  /** Requests there without a first event, beside the router's own. */
+  /** Requests without a first event on the server, excluding those sent by this router. */
   readonly startingCount: number
-  /** Leading prompt tokens of this request that the server has computed before. */
+  /** Leading prompt tokens of this request that the server holds in its prefix cache. */
   readonly cachedTokens: number
-  /** 0 for a server without failures, towards 1 for one that fails always. */
+  /** Recent share of failed requests: 0 for a server without failures, approaching 1 for one that always fails. */
   readonly failureShare: number
 }
 
@@ -20,60 +20,60 @@
   readonly serverId: string
   readonly isInMemory: boolean
   readonly isOnDisk: boolean
-  /** The model is being loaded or is waiting to be. */
+  /** The model is being loaded or its load is queued. */
   readonly isLoading: boolean
-  /** Its load has begun. */
+  /** The load has started. */
   readonly hasBegun: boolean
-  /** Time until the server can begin: its running load and what waits before. */
+  /** Time until the server can start the load: the rest of its current load and the loads queued before. */
   readonly busyMs: number
-  /** Time until the server may begin a load from the weight store. */
+  /** Time until the server may start a load from the weight store. */
   readonly coldWaitMs: number
-  /** Expected time to make room there. */
+  /** Expected time to free enough memory on the server. */
   readonly roomMs: number
-  /** Prompt tokens a second for the models that the server holds: their adapters cannot be fetched during a load. */
+  /** Prompt tokens per second for the models that the server holds. Their adapters cannot be loaded during a model load. */
   readonly heldTokensPerS: number
-  /** Requests that are late because of the room that is made there. */
+  /** Requests that become late because models are evicted to free memory on the server. */
   readonly evictionLoss: number
   readonly heldCount: number
   readonly failureShare: number
 }
 
-/** How long the ways to load a model take. */
+/** How long each way to load a model takes. */
 export interface LoadTimes {
-  /** The model's name, by which routers choose alike. */
+  /** The model's name. It breaks ties, so that all routers choose the same server. */
   readonly name: string
   readonly coldLoadMs: number
   readonly diskLoadMs: number
   readonly memoryLoadMs: number
-  /** Requests a second for the model: all that come until it is there wait for it. */
+  /** Requests per second for the model. All that arrive before it is loaded wait for it. */
   readonly requestsPerS: number
 }
 
-/** A model that an engine holds, as a candidate to make way. */
+/** A model that an engine holds, as a candidate for eviction. */
 export interface PlacedModel {
   readonly modelName: string
   readonly weightsMb: number
-  /** Requests a second for the model, over all routers. */
+  /** Requests per second for the model, summed over all routers. */
   readonly requestsPerS: number
   readonly promptTokensPerS: number
   readonly replicaCount: number
-  /** False after a start, before routers have told what is asked for. */
+  /** False after a start, until routers have reported their demand. */
   readonly isDemandKnown: boolean
-  /** Time in which the model is loaded again: a copy stays on the server. */
+  /** Time to load the model again from the copy that stays on the server. */
   readonly returnsMs: number
-  /** Requests run on it here: it can be unloaded only after their end. */
+  /** Requests for the model are running, so it can be unloaded only after they end. */
   readonly isRunning: boolean
   /** Time since its load ended. */
   readonly heldMs: number
-  /** Time since a router last sent a request for it here or asked for it. */
+  /** Time since a router last sent a request for the model to this server or asked for it to be loaded. */
   readonly idleMs: number
 }
 
-/** Demand for one model and who holds it. */
+/** Demand for one model and the number of its replicas. */
 export interface ReplicaView {
   readonly modelName: string
   readonly promptTokensPerS: number
   readonly replicaCount: number
-  /** Loads of it that are under way or asked for. */
+  /** Replicas that are being loaded or have been requested. */
   readonly comingCount: number
 }
