--- a/packages/decisions/src/queueing/constants.ts
+++ b/packages/decisions/src/queueing/constants.ts
@@ -1,30 +1,30 @@
-/** Tuning of the order of service. */
+/** Parameters of the queue order. */
 export const QueueTuning = {
   /**
-   * A priority gets this many times the guaranteed share of the next lower one. With two, the lowest of ten still gets
-   * one part in a thousand of a full server, a request of 100 tokens about every half minute, and a gap of three
-   * priorities is eight to one, as good as strict for any class that does not itself ask for most of the server.
+   * A priority gets this many times the guaranteed share of the next lower one. With a factor of two, the lowest of ten priorities
+   * still gets a thousandth of a full server, which is one request of 100 tokens about every 30 s. Three priorities
+   * apart the ratio is eight to one, close to strict priority unless the class itself demands most of the server.
    */
   priorityWeight: 2,
-  /** Half-life of what counts as served: long enough to see a hot caller, short enough to forget yesterday's batch. */
+  /** Half-life of served tokens: long enough to detect a caller that sends too much, short enough to disregard yesterday's batch. */
   halfLifeMs: 30_000,
   /**
-   * A token of expected length weighs as much as this much earlier arrival, so that short requests go before long ones
-   * and a long one goes first once it has waited for as long as its length weighs. About one token interval.
+   * Delay of the virtual arrival per expected token, so that short requests precede long ones, and a long one precedes them
+   * once it has waited for the delay of its own length. About one token interval.
    */
   lengthWeightMs: 30,
   /**
-   * A token that a caller, or its tenant, was served of late weighs as much as this much later arrival: the same as a
-   * token of length. At 5 a hot caller shows (p99 of the others 5.4 s in place of 2.4 s), at 60 and more an old request
-   * no longer counts against a small difference in service, and short requests wait for a third longer.
+   * Delay of the virtual arrival per token that the caller, or its tenant, was served recently; equal to `lengthWeightMs`.
+   * At 5, a caller that sends too much slows down the others (their p99 is 5.4 s instead of 2.4 s). At 60 and more, the age of a
+   * request no longer outweighs a small difference in served tokens, and short requests wait a third longer.
    */
   servedWeightMs: 30,
-  /** Served tokens are rescaled when the growing weight of new ones has reached two to this power. */
+  /** Served tokens are rescaled when the growing weight of new ones reaches two to this power. */
   rescaleHalfLives: 20
 } as const
 
 /** Guaranteed share of a priority, relative to priority 0. */
 export const weightOfPriority = (priority: number): number => QueueTuning.priorityWeight ** priority
 
-/** Weight of a token that is served now, against one that was served at `asOfMs` (forward decay). */
+/** Weight of a token that is served now, relative to one that was served at `asOfMs` (forward decay). */
 export const weightOfNow = (asOfMs: number, nowMs: number): number => 2 ** ((nowMs - asOfMs) / QueueTuning.halfLifeMs)
--- a/packages/decisions/src/queueing/estimateAhead.ts
+++ b/packages/decisions/src/queueing/estimateAhead.ts
@@ -4,12 +4,12 @@
 import type { CallerName } from '@figmount/base'
 import type { EstimateAhead, FairnessState, WaitingRequest } from './types.js'
 
-/** Baseline: all that waits is ahead, as in a queue served in order of arrival. */
+/** Baseline: all waiting requests are ahead, as in a first-in, first-out queue. */
 export const allAhead: EstimateAhead = waiting => waiting.reduce((sum, one) => sum + one.expectedTokens, 0)
 
 /**
- * Work of the same priority with an earlier virtual arrival. Each request that is served puts off the next ones of its
- * caller, so that only the first few of a hot caller are ahead of a quiet one.
+ * Tokens of requests with the same priority and an earlier virtual arrival. Each request that is served delays the virtual arrival
+ * of its caller's next ones, so only the first few requests of a caller with many are ahead of one from a caller with few.
  */
 const aheadInPriority = (waiting: readonly WaitingRequest[], request: WaitingRequest, fairness: FairnessState, nowWeight: number): number => {
   const before = new Map<CallerName, number>()
@@ -27,8 +27,8 @@
   return ahead
 }
 
-/** Work of other priorities: each is served first for as long as its share is short of the own one. */
-const aheadOfOthers = (waiting: readonly WaitingRequest[], request: WaitingRequest, inPriority: number, fairness: FairnessState, nowWeight: number): number => {
+/** Tokens of requests with other priorities: each priority is served first until it has caught up with the request's own. */
+const aheadInOtherPriorities = (waiting: readonly WaitingRequest[], request: WaitingRequest, inPriority: number, fairness: FairnessState, nowWeight: number): number => {
   const servedOf = (priority: number): number => (fairness.servedByPriority?.get(priority) ?? 0) / nowWeight
   const servedAtTurn = servedOf(request.priority) + inPriority / weightOfPriority(request.priority)
   const tokens = new Map<number, number>()
@@ -42,15 +42,15 @@
 }
 
 /**
- * Expected tokens that `pickFairShare` serves before a new request, by the order that it uses.
+ * Expected tokens that `pickFairShare` serves before a new request, according to its order. `waiting` is in order of arrival.
  *
- * Load pattern: a hot caller or a low priority fills the queue. Counting the whole queue would refuse the quiet
- * callers for work that will be served after theirs. Requests that arrive later are not counted; the error that this
- * brings is measured by `waitRatio` of the estimates. `waiting` is in order of arrival.
+ * Load pattern: one caller, or a low priority, fills the queue. Counting the whole queue would refuse other callers
+ * because of requests that are served after theirs. Requests that arrive later are not counted; the resulting error
+ * is measured by `waitRatio` of the estimates.
  */
 export const fairAhead: EstimateAhead = (waiting, request, fairness, nowMs) => {
   const nowWeight = weightOfNow(fairness.asOfMs, nowMs)
   const same = waiting.filter(one => one.priority === request.priority)
   const inPriority = aheadInPriority(same, request, fairness, nowWeight)
-  return inPriority + aheadOfOthers(waiting, request, inPriority, fairness, nowWeight)
+  return inPriority + aheadInOtherPriorities(waiting, request, inPriority, fairness, nowWeight)
 }
--- a/packages/decisions/src/queueing/pickFairShare.test.ts
+++ b/packages/decisions/src/queueing/pickFairShare.test.ts
@@ -10,7 +10,7 @@
 import type { CallerName, ModelId } from '@figmount/base'
 import type { FairnessState, WaitingRequest } from './types.js'
 
-const waiting = (id: string, over: Partial<WaitingRequest> = {}): WaitingRequest => ({
+const waiting = (id: string, overrides: Partial<WaitingRequest> = {}): WaitingRequest => ({
   id,
   model: 's/m' as ModelId,
   adapter: '',
@@ -21,7 +21,7 @@
   expectedTokens: 100,
   arrivedAtMs: 0,
   deadlineAtMs: 600_000,
-  ...over
+  ...overrides
 })
 
 const serveAll = (requests: readonly WaitingRequest[], nowMs = 0): readonly string[] => {
@@ -37,8 +37,8 @@
   return order
 }
 
-describe('order of service', () => {
-  it('serves priorities in proportion, and the low one too', () => {
+describe('queue order', () => {
+  it('serves priorities in proportion to their weights, including the low one', () => {
     const high = Array.from({ length: 40 }, (_, index) => waiting(`high${index}`, { priority: 8, arrivedAtMs: 10 }))
     const low = Array.from({ length: 5 }, (_, index) => waiting(`low${index}`, { priority: 5 }))
     const order = serveAll([...low, ...high], 20)
@@ -46,7 +46,7 @@
     expect(order.slice(0, 27).filter(id => id.startsWith('low')).length).to.equal(3)
   })
 
-  it('counts as ahead what will be served before', () => {
+  it('counts only requests as ahead that are served before', () => {
     const hot = Array.from({ length: 50 }, (_, index) => waiting(`h${index}`, { caller: 'hot' as CallerName, tenant: 'rival' }))
     const review = waiting('review', { priority: 2, expectedTokens: 5_000 })
     expect(allAhead([...hot, review], waiting('new'), noFairness, 0)).to.equal(10_000)
@@ -57,7 +57,7 @@
     expect(fairAhead(hot, waiting('new'), served, 0)).to.equal(1_000)
   })
 
-  it('takes turns between tenants, then callers by share', () => {
+  it('alternates between tenants, then between callers by share', () => {
     const work = { expectedTokens: 1_500 }
     const rival = ['r1', 'r2'].map(id => waiting(id, { ...work, tenant: 'rival', caller: 'rival' as CallerName }))
     const hot = Array.from({ length: 4 }, (_, index) => waiting(`h${index}`, { ...work, caller: 'hot' as CallerName }))
@@ -67,19 +67,19 @@
     expect(firstFour.filter(id => id.startsWith('p')).length).to.equal(3)
   })
 
-  it('lets a quiet caller in after one short request of a hot one', () => {
+  it('serves a caller with one request after one short request of a caller with many', () => {
     const hot = Array.from({ length: 75 }, (_, index) => waiting(`h${index}`, { caller: 'hot' as CallerName, expectedTokens: 20 }))
     const quiet = waiting('quiet', { caller: 'quiet' as CallerName, arrivedAtMs: 500, expectedTokens: 20 })
     expect(serveAll([...hot, quiet], 500).indexOf('quiet')).to.equal(1)
   })
 
-  it('serves short before long, but not for ever', () => {
+  it('serves short requests before long ones without starving the long ones', () => {
     const long = waiting('long', { expectedTokens: 2_000 })
     expect(pickFairShare([long, waiting('short', { arrivedAtMs: 5_000 })], noFairness, 5_000)?.id).to.equal('short')
     expect(pickFairShare([long, waiting('short', { arrivedAtMs: 59_000 })], noFairness, 59_999)?.id).to.equal('long')
   })
 
-  it('keeps places free of long requests', () => {
+  it('reserves slots for short requests', () => {
     const long = waiting('long', { expectedTokens: 2_000 })
     const view = { batchSlots: 8, meanTokens: 100, running: Array.from({ length: 6 }, () => long) }
     expect(limitLong([long, waiting('short')], view).map(one => one.id)).to.deep.equal(['short'])
@@ -91,16 +91,16 @@
     expect(limitLong([long], { batchSlots: 1, meanTokens: 100, running: [] })).to.deep.equal([long])
   })
 
-  it('gives up what cannot end in time', () => {
+  it('sheds requests that cannot end before their deadline', () => {
     const queue = [waiting('late', { deadlineAtMs: 2_900 }), waiting('well', { deadlineAtMs: 3_100 })]
     expect(shedHopeless(queue, 30, 0).map(one => one.id)).to.deep.equal(['late'])
   })
 
-  it('passes over a request whose deadline has passed', () => {
+  it('skips a request whose deadline has passed', () => {
     expect(pickFairShare([waiting('gone', { deadlineAtMs: 10 })], noFairness, 10)).to.equal(undefined)
   })
 
-  it('forgets what was served long ago', () => {
+  it('discards tokens that were served long ago', () => {
     const old = accountDecayed(noFairness, waiting('a', { tenant: 'old' }), 1_000, 0)
     const fresh = accountDecayed(old, waiting('b', { tenant: 'new' }), 100, 300_000)
     expect(fresh.servedByTenant.get('old')).to.be.below(fresh.servedByTenant.get('new') ?? 0)
--- a/packages/decisions/src/queueing/pickFairShare.ts
+++ b/packages/decisions/src/queueing/pickFairShare.ts
@@ -3,14 +3,14 @@
 
 import type { FairnessState, PickNext, WaitingRequest } from './types.js'
 
-/** Order of one request among those that wait; compared field by field, least first. */
+/** Sort key of a waiting request; compared field by field, smallest first. */
 interface Rank {
   readonly servedByPriority: number
   readonly negatedPriority: number
   readonly virtualArrivalMs: number
 }
 
-const rank = (request: WaitingRequest, fairness: FairnessState, nowWeight: number): Rank => ({
+const rankOf = (request: WaitingRequest, fairness: FairnessState, nowWeight: number): Rank => ({
   servedByPriority: fairness.servedByPriority?.get(request.priority) ?? 0,
   negatedPriority: -request.priority,
   virtualArrivalMs: virtualArrivalMs(request, fairness, nowWeight)
@@ -23,18 +23,18 @@
 }
 
 /**
- * Weighted fair service of the priorities (each twice the share of the next lower one), and within a priority by
- * virtual arrival: the real one, put off by the length of the request and by what its caller (for its share) and its
- * tenant were served of late.
+ * Weighted fair queueing of the priorities (each gets twice the share of the next lower one), and within a priority the order of
+ * virtual arrival: the actual arrival, delayed by the request's length and by the tokens that its caller (divided by its share)
+ * and its tenant were served recently.
  *
- * Load pattern: one caller sends many times more than the others; rival tenants share one backend server; long jobs
- * stand in front of short ones; urgent and slow requests want the same model. Without it the hot caller's queue is
- * everybody's queue, and a quick question waits for every review before it.
+ * Load pattern: one caller sends many times more than the others; competing tenants share one backend server; long requests
+ * precede short ones; urgent and batch requests use the same model. First come, first served would make all callers wait
+ * behind the one with the most requests, and a short request behind every long one.
  *
- * A class that asks for less than its guaranteed share is always served at once, and no class starves. Raising a
- * priority with its age was dropped: under lasting overload old requests pass the urgent ones. So were strict turns
- * between tenants and callers: length and age then never counted (`docs/design/queueing.md`). A request whose deadline
- * has passed is not picked, since its caller has its refusal.
+ * A priority that demands less than its guaranteed share is always served at once, and none starves. Two alternatives were tried
+ * and rejected: priorities that rise with age (under sustained overload old requests overtake urgent ones) and strict turns
+ * between tenants and callers (length and age then had no effect, see `docs/design/queueing.md`). A request whose deadline
+ * has passed is not picked, because its caller has already been refused.
  */
 export const pickFairShare: PickNext = (waiting, fairness, nowMs) => {
   const nowWeight = weightOfNow(fairness.asOfMs, nowMs)
@@ -42,7 +42,7 @@
   let bestRank: Rank | undefined
   for (const request of waiting) {
     if (request.deadlineAtMs <= nowMs) continue
-    const own = rank(request, fairness, nowWeight)
+    const own = rankOf(request, fairness, nowWeight)
     if (bestRank && !isBefore(own, bestRank)) continue
     best = request
     bestRank = own
--- a/packages/decisions/src/queueing/pickFirstCome.ts
+++ b/packages/decisions/src/queueing/pickFirstCome.ts
@@ -1,6 +1,6 @@
 import type { AccountServed, FairnessState, PickNext } from './types.js'
 
-/** Fairness before anybody was served. */
+/** Initial state, without any served tokens. */
 export const noFairness: FairnessState = { servedByTenant: new Map(), servedByCaller: new Map(), asOfMs: 0 }
 
 /** Baseline: first come, first served. */
--- a/packages/decisions/src/queueing/types.ts
+++ b/packages/decisions/src/queueing/types.ts
@@ -1,6 +1,6 @@
 import type { CallerName, ModelId } from '@figmount/base'
 
-/** A request that waits at an agent. Times are monotonic ms of that agent. */
+/** A request that waits at an agent. Times are in ms of that agent's monotonic clock. */
 export interface WaitingRequest<Id extends string = string> {
   readonly id: Id
   readonly model: ModelId
@@ -9,44 +9,44 @@
   readonly tenant: string
   readonly share: number
   readonly priority: number
-  /** Expected tokens, with the prompt's work added as the tokens that take as long. */
+  /** Expected tokens of the answer, plus the cost of the prompt converted to tokens that take as long. */
   readonly expectedTokens: number
-  /** Tokens that most requests of this kind stay under; `expectedTokens` when left out. */
+  /** Upper bound that most requests of this kind stay below; `expectedTokens` when omitted. */
   readonly boundTokens?: number
   readonly arrivedAtMs: number
   readonly deadlineAtMs: number
 }
 
-/** Past service of callers and tenants, for fairness; a value that the queue hands back with each pick. */
+/** Tokens that callers and tenants were served, for fairness. A plain value that is replaced by each accounting. */
 export interface FairnessState {
-  /** Weighted tokens served, by tenant and by caller, decayed over time. */
+  /** Weighted tokens served per tenant and per caller, decayed over time. */
   readonly servedByTenant: ReadonlyMap<string, number>
   readonly servedByCaller: ReadonlyMap<CallerName, number>
-  /** Tokens served of each priority over its weight; nothing yet when left out. */
+  /** Tokens served per priority, divided by its weight; none when omitted. */
   readonly servedByPriority?: ReadonlyMap<number, number>
   readonly asOfMs: number
 }
 
-/** Picks who is served next among those whose model is ready; undefined when nobody is. */
+/** Picks the next request to serve from those whose model is ready; undefined when there is none. */
 export type PickNext = <Id extends string>(waiting: readonly WaitingRequest<Id>[], fairness: FairnessState, nowMs: number) => WaitingRequest<Id> | undefined
 
-/** Accounts tokens that were served. */
+/** Adds served tokens to the fairness state. */
 export type AccountServed = (fairness: FairnessState, request: WaitingRequest, tokenCount: number, nowMs: number) => FairnessState
 
-/** Expected tokens that are served before `request`, which is not among `waiting`. */
+/** Expected tokens that are served before `request`, which is not part of `waiting`. */
 export type EstimateAhead = (waiting: readonly WaitingRequest[], request: WaitingRequest, fairness: FairnessState, nowMs: number) => number
 
-/** What runs at an agent, as far as the limit on long requests needs it. */
+/** The requests that an agent runs, as needed by the limit on long requests. */
 export interface RunningView {
-  /** Requests that the engine runs at once. */
+  /** Requests that the engine runs at the same time. */
   readonly batchSlots: number
   readonly running: readonly WaitingRequest[]
-  /** Mean expected tokens of the requests that were served of late. */
+  /** Mean expected tokens of recently served requests. */
   readonly meanTokens: number
 }
 
-/** Names those of the waiting requests that may start now. */
+/** Selects the waiting requests that may start now. */
 export type LimitLong = <Id extends string>(waiting: readonly WaitingRequest<Id>[], view: RunningView) => readonly WaitingRequest<Id>[]
 
-/** Names waiting requests that should be refused now, "not run". */
+/** Selects waiting requests that should be refused now as "not run". */
 export type ShedWaiting = <Id extends string>(waiting: readonly WaitingRequest<Id>[], tokenIntervalMs: number, nowMs: number) => readonly WaitingRequest<Id>[]
--- a/packages/decisions/src/queueing/virtualArrival.ts
+++ b/packages/decisions/src/queueing/virtualArrival.ts
@@ -3,9 +3,9 @@
 import type { FairnessState, WaitingRequest } from './types.js'
 
 /**
- * When a request counts as arrived within its priority: the real time, put off by its length and by what its caller
- * (for its share) and its tenant were served of late. The least is served next. `nowWeight` is the weight of a token that
- * is served now, worked out once for a whole queue.
+ * Virtual arrival of a request within its priority: the actual arrival, delayed by the request's length and by the tokens that its
+ * caller (divided by its share) and its tenant were served recently. The earliest is served next. `nowWeight` is the
+ * weight of a token that is served now, computed once for a whole queue.
  */
 export const virtualArrivalMs = (request: WaitingRequest, fairness: FairnessState, nowWeight: number): number => {
   const servedByTenant = fairness.servedByTenant.get(request.tenant) ?? 0
