--- a/packages/decisions/src/admission/admitByDeadline.test.ts
+++ b/packages/decisions/src/admission/admitByDeadline.test.ts
@@ -18,15 +18,15 @@
 const half = (): number => 0.5
 
 describe('admission', () => {
-  it('admits what ends in time and refuses what does not', () => {
+  it('admits requests that end before their deadline and refuses others', () => {
     expect(admitByDeadline({ ...view, secondsAhead: 26 }, half)).to.deep.equal({ kind: 'admit', estimatedWaitMs: 26_000 })
     expect(admitByDeadline({ ...view, secondsAhead: 28 }, half).kind).to.equal('refuse')
     expect(admitByDeadline({ ...view, readyInMs: 40_000 }, half).kind).to.equal('refuse')
   })
 
-  // A model loads for 12 s and its callers give 10 s. The server has refused many lately, so they
-  // are told to come back within a minute: their model lies idle and they wait.
-  it('calls callers of a loading model back when it is ready, however many were refused', () => {
+  // A model loads for 12 s and its callers have a deadline of 10 s. The server has refused many requests recently. Guards
+  // against a retry time of up to a minute, during which the loaded model is idle and its callers wait.
+  it('asks callers of a loading model to retry when it is ready, however many were refused', () => {
     const crowded = { ...view, remainingMs: 10_000, readyInMs: 12_000, recentRefusals: 100, servedPerSecond: 1, resendCount: 3 }
     const verdict = admitByDeadline(crowded, () => 1)
     expect(verdict.kind === 'refuse' && verdict.retryAfterMs).to.be.within(5_000, 6_000)
@@ -34,13 +34,13 @@
     expect(queued.kind === 'refuse' && queued.retryAfterMs).to.be.above(60_000)
   })
 
-  it('keeps the end of the queue for high priorities', () => {
+  it('reserves the end of the queue for high priorities', () => {
     expect(admitByDeadline({ ...view, queuedCount: 80, priority: 0 }, half).kind).to.equal('refuse')
     expect(admitByDeadline({ ...view, queuedCount: 80, priority: 9 }, half).kind).to.equal('admit')
     expect(admitByDeadline({ ...view, queuedCount: 100, priority: 9 }, half).kind).to.equal('refuse')
   })
 
-  it('never admits a request past its deadline and always names a time', () => {
+  it('never admits a request past its deadline and always gives a retry time', () => {
     const views = fc.record({
       remainingMs: fc.nat(100_000), secondsAhead: fc.nat(200), readyInMs: fc.nat(60_000), queuedCount: fc.nat(120), priority: fc.nat(9)
     })
--- a/packages/decisions/src/admission/types.ts
+++ b/packages/decisions/src/admission/types.ts
@@ -1,24 +1,24 @@
-/** What an agent knows when a request asks to be queued. */
+/** State of an agent when it decides whether to queue a request. */
 export interface AdmissionView {
   readonly remainingMs: number
   readonly expectedTokens: number
   readonly priority: number
   /** Expected time until the model (and adapter) is ready. */
   readonly readyInMs: number
-  /** Work ahead of this request at its priority, in seconds at the present speed. */
+  /** Work ahead of this request at its priority, in seconds at the current speed. */
   readonly secondsAhead: number
-  /** Tokens that most requests of this kind stay under; `expectedTokens` when left out. */
+  /** Upper bound that most requests of this kind stay below; `expectedTokens` when omitted. */
   readonly boundTokens?: number
   readonly tokenIntervalMs: number
   readonly queuedCount: number
   readonly maxQueuedCount: number
-  /** Observed over predicted wait of late, for figures; weighing it in brought nothing (`docs/design/admission.md`). */
+  /** Recent ratio of observed to predicted wait, for metrics. Using it for admission brought no gain (`docs/design/admission.md`). */
   readonly waitRatio?: number
-  /** Mean deviation of that ratio; weighing it in refused callers who would have been served in time. */
+  /** Mean deviation of that ratio. Using it for admission refused callers that would have been served in time. */
   readonly waitRatioDeviation?: number
-  /** Requests that were refused here lately and will come back. */
+  /** Requests that were refused here recently and are expected to be retried. */
   readonly recentRefusals?: number
-  /** Requests that can be served here a second, 0 when unknown. */
+  /** Requests per second that can be served here; 0 when unknown. */
   readonly servedPerSecond?: number
   readonly resendCount?: number
 }
@@ -27,5 +27,5 @@
   | { readonly kind: 'admit', readonly estimatedWaitMs: number }
   | { readonly kind: 'refuse', readonly retryAfterMs: number, readonly detail: string }
 
-/** Says now whether a request can be served before its deadline. `random` yields numbers in [0, 1). */
+/** Decides at once whether a request can be served before its deadline. `random` yields numbers in [0, 1). */
 export type Admit = (view: AdmissionView, random: () => number) => AdmissionVerdict
