--- a/packages/decisions/src/retries/retryAfterFixed.ts
+++ b/packages/decisions/src/retries/retryAfterFixed.ts
@@ -2,5 +2,5 @@
 
 const FIXED_MS = 1_000
 
-/** Baseline: the same time for everybody. */
+/** Baseline: the same time for all callers. */
 export const retryAfterFixed: ChooseRetryAfter = () => FIXED_MS
--- a/packages/decisions/src/retries/spreadByDrainTime.ts
+++ b/packages/decisions/src/retries/spreadByDrainTime.ts
@@ -1,37 +1,37 @@
 import type { ChooseRetryAfter, RetryAfterView } from './types.js'
 
 const MS_PER_SECOND = 1000
-/** Under a fifth of a second a caller's round trip and its own timers make up most of the wait. */
-const FLOOR_MS = 200
-/** A caller that is told more than a minute may as well ask another day; the operator's deadlines are of that size. */
-const CEILING_MS = 60_000
-/** Least spread: twice the floor. */
-const LEAST_SPREAD_MS = 400
-/** Resends after which the spread stops doubling while nothing is served: 2^5 of the least spread is about 13 s. */
+/** Below a fifth of a second the caller's round trip and its own timers make up most of the wait. */
+const MIN_RETRY_AFTER_MS = 200
+/** A longer retry time than a minute is as bad as a failure for the caller; operators set deadlines of that order. */
+const MAX_RETRY_AFTER_MS = 60_000
+/** Twice the minimum retry time. */
+const MIN_SPREAD_MS = 400
+/** Number of resends after which the spread stops doubling while nothing is served: 2^5 times the minimum is about 13 s. */
 const MAX_DOUBLINGS = 5
-/** Part of the served rate that may be promised to those that come back; the rest is for new requests. */
-const PROMISED_SHARE = 0.8
+/** Share of the service rate that retries may use; the rest is reserved for new requests. */
+const RETRY_CAPACITY_SHARE = 0.8
 
 /**
- * Time in which those that were refused can be served. With an unknown rate (an outage) the spread doubles with each
- * resend, which bounds the load without knowing anything; with a known one doubling would only punish whoever has
- * waited longest.
+ * Time in which the refused requests can be served. While the service rate is unknown (an outage) the spread doubles with each
+ * resend, which limits the load without further information. With a known rate, doubling would only penalise the callers
+ * that have waited longest.
  */
 const spreadMs = (view: RetryAfterView): number => {
-  if (view.servedPerSecond <= 0) return LEAST_SPREAD_MS * 2 ** Math.min(view.resendCount, MAX_DOUBLINGS)
-  const drainMs = view.recentRefusals / (view.servedPerSecond * PROMISED_SHARE) * MS_PER_SECOND
-  return Math.max(LEAST_SPREAD_MS, drainMs)
+  if (view.servedPerSecond <= 0) return MIN_SPREAD_MS * 2 ** Math.min(view.resendCount, MAX_DOUBLINGS)
+  const drainMs = view.recentRefusals / (view.servedPerSecond * RETRY_CAPACITY_SHARE) * MS_PER_SECOND
+  return Math.max(MIN_SPREAD_MS, drainMs)
 }
 
 /**
- * Tells a refused caller to come back after the expected wait, at a random moment of the time that it takes to serve
- * all that were refused with it.
+ * Lets a refused caller retry after the expected wait, at a random moment within the time that it takes to serve all
+ * requests that were refused with it.
  *
- * Load pattern: an outage or a burst leaves thousands of callers that never give up. Without it they come back in
- * step, are refused in step, and the herd repeats although the capacity would have sufficed for all of them one after
+ * Load pattern: an outage or a burst leaves thousands of callers that never give up. Otherwise they retry in
+ * step and are refused in step, and this thundering herd repeats although the capacity suffices to serve them one after
  * the other.
  */
 export const spreadByDrainTime: ChooseRetryAfter = (view, random) => {
-  const earliestMs = Math.max(FLOOR_MS, view.estimatedWaitMs)
-  return Math.round(Math.min(CEILING_MS, earliestMs) + random() * Math.min(CEILING_MS, spreadMs(view)))
+  const earliestMs = Math.max(MIN_RETRY_AFTER_MS, view.estimatedWaitMs)
+  return Math.round(Math.min(MAX_RETRY_AFTER_MS, earliestMs) + random() * Math.min(MAX_RETRY_AFTER_MS, spreadMs(view)))
 }
--- a/packages/decisions/src/retries/types.ts
+++ b/packages/decisions/src/retries/types.ts
@@ -1,16 +1,16 @@
-/** What a come-back time is worked out from. */
+/** Inputs for the retry time of a refused caller. */
 export interface RetryAfterView {
-  /** Expected time until there is room. */
+  /** Expected time until there is capacity. */
   readonly estimatedWaitMs: number
-  /** Requests that were refused lately and will come back too. */
+  /** Requests that were refused recently and are expected to be retried. */
   readonly recentRefusals: number
   /**
-   * Requests that can be served a second, 0 when unknown. The capacity, not what was served of late: a come-back time
-   * worked out from a low recent rate keeps that rate low.
+   * Requests per second that can be served, 0 when unknown. This is the capacity, not the recent rate: retry times
+   * derived from a low recent rate keep that rate low.
    */
   readonly servedPerSecond: number
   readonly resendCount: number
 }
 
-/** When a refused caller should come back. `random` yields numbers in [0, 1). */
+/** Computes the time after which a refused caller should retry. `random` yields numbers in [0, 1). */
 export type ChooseRetryAfter = (view: RetryAfterView, random: () => number) => number
