--- a/packages/decisions/src/limits/chooseLimiter.ts
+++ b/packages/decisions/src/limits/chooseLimiter.ts
@@ -1,10 +1,10 @@
 import { rankByRendezvous } from '@figmount/base'
 
 /**
- * The process that keeps an organisation's bucket, for one router: the first by rank of those that it reaches.
+ * Chooses the process that holds an organisation's token bucket for one router: the highest-ranked one that the router can reach.
  *
- * All routers that reach the same processes choose the same one, with nothing to agree on. Where they do not, each bucket holds the
- * part of the limit of the routers that chose it, so the parts add up to the whole limit.
+ * Routers that reach the same processes choose the same one without coordination. If they reach different ones, each bucket holds
+ * the share of the limit of the routers that chose it, so the shares add up to the whole limit.
  */
 export const chooseLimiter = (organisationName: string, reached: readonly string[]): string | undefined =>
   rankByRendezvous(organisationName, reached)[0]
--- a/packages/decisions/src/limits/limits.test.ts
+++ b/packages/decisions/src/limits/limits.test.ts
@@ -15,8 +15,8 @@
   readonly units: number
 }
 
-/** Most units that were let through in any stretch of this length. */
-const mostIn = (passed: readonly Passed[], windowMs: number): number => {
+/** Maximum units that passed within any window of this length. */
+const maxUnitsWithin = (passed: readonly Passed[], windowMs: number): number => {
   let most = 0
   for (const { atMs } of passed) {
     const within = passed.filter(other => other.atMs >= atMs && other.atMs <= atMs + windowMs)
@@ -26,7 +26,7 @@
 }
 
 describe('an organisation\'s limit', () => {
-  it('lets a hot organisation through at its rate', () => {
+  it('lets an organisation that exceeds its limit through at its rate', () => {
     let bucket = fullBucket(LIMIT, 0)
     let passedUnits = 0
     for (let atMs = 0; atMs < 8_000; atMs += 10) {
@@ -37,7 +37,7 @@
     expect(passedUnits).to.be.within(8_500, 9_300)
   })
 
-  it('tells when a refused request fits', () => {
+  it('returns the time after which a refused request fits', () => {
     for (const [needed, retryAfterMs] of [[needAll, 500], [needNoDebt, 300]] as const) {
       const inDebt = { levelUnits: needed === needAll ? 0 : -300, asOfMs: 0 }
       const refused = takeUnits(inDebt, LIMIT, { units: 500, maxWaitMs: MAX_WAIT_MS }, needed, 0)
@@ -46,8 +46,8 @@
     }
   })
 
-  it('serves a request that is larger than its burst', () => {
-    // Guards against large requests that are refused for ever.
+  it('serves a request that is larger than the burst', () => {
+    // Guards against large requests that are always refused.
     for (const needed of [needAll, needNoDebt]) {
       const taking = takeUnits(fullBucket(LIMIT, 0), LIMIT, { units: 5_000, maxWaitMs: 0 }, needed, 0)
       expect(taking.isTaken).to.equal(true)
@@ -55,8 +55,8 @@
     }
   })
 
-  it('gives large and small requests of a hot organisation the same chance', () => {
-    // Guards against a kind of request that is refused beside others of its organisation.
+  it('gives large and small requests of an organisation above its limit the same chance', () => {
+    // Guards against one kind of request being refused because of the organisation's other requests.
     const shareServed = (needed: NeededUnits, units: number): number => {
       const random = makeRandom(3)
       let bucket = fullBucket(LIMIT, 0)
@@ -76,14 +76,14 @@
     expect(shareServed(needNoDebt, 20)).to.be.closeTo(shareServed(needNoDebt, 300), 0.05)
   })
 
-  it('has two close requests wait in place of refusing one', () => {
+  it('lets the second of two close requests wait instead of refusing it', () => {
     const first = takeUnits(emptyBucket(0), LIMIT, { units: 100, maxWaitMs: MAX_WAIT_MS }, needNoDebt, 0)
     const second = takeUnits(first.bucket, LIMIT, { units: 100, maxWaitMs: MAX_WAIT_MS }, needNoDebt, 0)
     expect([first, second].map(taking => taking.isTaken && taking.waitMs)).to.deep.equal([0, 100])
   })
 
-  it('is never passed by the parts together, however routers move between them', () => {
-    // Guards against units counted twice when limiters die, are cut off and come back.
+  it('is never exceeded by the shares together, however routers move between limiters', () => {
+    // Guards against units that are counted twice when limiters crash, are partitioned and return.
     const routerCount = 5
     const LIMITER_COUNT = 3
     const LARGEST = 300
@@ -103,7 +103,7 @@
             buckets.set(before, resizeBucket(buckets.get(before) ?? emptyBucket(nowMs), size, size - 1))
           }
           chosen.set(router, limiter)
-          // What the limiter had goes by its old size until now.
+          // Until now the limiter's bucket was refilled according to its old size.
           const size = sizeOf(limiter) - 1
           const known = buckets.get(limiter) ?? emptyBucket(nowMs)
           buckets.set(limiter, size === 0 ? emptyBucket(nowMs) : refill(known, shareOfLimit(LIMIT, size / routerCount), nowMs))
@@ -114,12 +114,12 @@
         buckets.set(at, taking.bucket)
         if (taking.isTaken) passed.push({ atMs: nowMs, units })
       }
-      // Each of the limiters may go into debt by one request.
-      expect(mostIn(passed, 8_000)).to.be.at.most(LIMIT.unitsPerS * 8 + LIMIT.burstUnits + LIMITER_COUNT * LARGEST)
+      // Each limiter may go into debt by one request.
+      expect(maxUnitsWithin(passed, 8_000)).to.be.at.most(LIMIT.unitsPerS * 8 + LIMIT.burstUnits + LIMITER_COUNT * LARGEST)
     }), { seed: 7, numRuns: 200 })
   })
 
-  it('is kept by the same process for all routers that reach the same ones', () => {
+  it('is held by the same process for all routers that reach the same processes', () => {
     const reached = ['a', 'b', 'c', 'd']
     expect(chooseLimiter('o', reached)).to.equal(chooseLimiter('o', [...reached].reverse()))
     const first = chooseLimiter('o', reached)
--- a/packages/decisions/src/limits/types.ts
+++ b/packages/decisions/src/limits/types.ts
@@ -1,30 +1,30 @@
-/** A quota: a limit on an organisation's requests, in units of its own: requests or tokens. */
+/** Quota of an organisation, in its own unit: requests or tokens. */
 export interface RateLimit {
   readonly unitsPerS: number
-  /** Units that may come at once after a pause. */
+  /** Units that may be used at once after a pause. */
   readonly burstUnits: number
 }
 
-/** A part of a limit, held by one process. A plain value. */
+/** Token bucket for a share of a limit, held by one process. A plain value. */
 export interface TokenBucket {
-  /** Units that may be taken now; below 0 they are owed. */
+  /** Units that may be taken now; below 0 when in debt. */
   readonly levelUnits: number
   readonly asOfMs: number
 }
 
-/** One request for units. */
+/** Units requested for one request. */
 export interface UnitsRequest {
   readonly units: number
-  /** The request may wait this long for them. */
+  /** Maximum time that the request may wait for them. */
   readonly maxWaitMs: number
 }
 
-/** Units that a bucket must hold for a request of this size to take its units. */
+/** Units that a bucket must hold before a request of this size may take its units. */
 export type NeededUnits = (units: number, limit: RateLimit) => number
 
-/** What became of a request for units. */
-export type Taking =
-  /** They may be used after this time. */
+/** Result of a request for units. */
+export type TakeResult =
+  /** The units may be used after `waitMs`. */
   | { readonly isTaken: true, readonly bucket: TokenBucket, readonly waitMs: number }
-  /** They would be there after this time. */
+  /** The units would be available after `retryAfterMs`. */
   | { readonly isTaken: false, readonly bucket: TokenBucket, readonly retryAfterMs: number }
