--- a/packages/decisions/src/routing/chooseFirstReady.ts
+++ b/packages/decisions/src/routing/chooseFirstReady.ts
@@ -5,7 +5,7 @@
 const waitMs = (candidate: RoutingCandidate): number =>
   candidate.readyInMs + (candidate.queuedSeconds + candidate.unreportedSeconds) * MS_PER_SECOND
 
-/** Baseline: the candidate with the least expected wait by the last reports, ready ones first. */
+/** Baseline: the candidate with the shortest expected wait according to the last reports, regardless of their age. */
 export const chooseFirstReady: ChooseBackend = (request, candidates) => {
   let best: RoutingCandidate | undefined
   for (const candidate of candidates) {
--- a/packages/decisions/src/routing/chooseLeastCost.test.ts
+++ b/packages/decisions/src/routing/chooseLeastCost.test.ts
@@ -14,7 +14,7 @@
   return () => uniformFloat64(generator)
 }
 
-const candidate = (name: string, over: Partial<RoutingCandidate> = {}): RoutingCandidate => ({
+const candidate = (name: string, overrides: Partial<RoutingCandidate> = {}): RoutingCandidate => ({
   instance: name as InstanceName,
   slotIndex: 0,
   fence: 1 as LogOffset,
@@ -28,21 +28,21 @@
   hasAdapter: true,
   hasPrefix: false,
   sameDataCentre: true,
-  ...over
+  ...overrides
 })
 
 const request: RoutingRequest = { remainingMs: 120_000, expectedTokens: 100, priority: 5, coldStartMs: 20_000 }
 
-const chosenNames = (candidates: readonly RoutingCandidate[], runs = 200, asked = request): readonly string[] => {
+const chosenNames = (candidates: readonly RoutingCandidate[], runs = 200, routed = request): readonly string[] => {
   const random = makeRandom(1)
   return Array.from({ length: runs }, () => {
-    const choice = chooseLeastCost(asked, candidates, random)
+    const choice = chooseLeastCost(routed, candidates, random)
     return choice.kind === 'send' ? choice.candidate.instance : 'none'
   })
 }
 
 describe('choice of backend server', () => {
-  it('prefers ready to loading to cached to remote', () => {
+  it('prefers a ready model to a loading one, and that to a cached and a remote one', () => {
     const remote = candidate('remote', { state: 'cold', readyInMs: 20_000 })
     const disk = candidate('disk', { state: 'disk', readyInMs: 6_000 })
     const loading = candidate('loading', { state: 'loading', readyInMs: 3_000 })
@@ -52,23 +52,23 @@
     expect(new Set(chosenNames([remote, disk]))).to.deep.equal(new Set(['disk']))
   })
 
-  it('starts a replica only when the queue costs more', () => {
+  it('starts a replica only when the queue costs more than the cold start', () => {
     const cold = candidate('cold', { state: 'disk', readyInMs: 6_000 })
     expect(new Set(chosenNames([cold, candidate('warm', { queuedSeconds: 8 })]))).to.deep.equal(new Set(['warm']))
     expect(new Set(chosenNames([cold, candidate('warm', { queuedSeconds: 30 })]))).to.deep.equal(new Set(['cold']))
   })
 
-  it('lets all routers start the same cold slot', () => {
+  it('makes all routers choose the same cold slot', () => {
     const cold = ['a', 'b', 'c'].map(name => candidate(name, { state: 'cold', readyInMs: 20_000 }))
     expect(new Set(chosenNames(cold)).size).to.equal(1)
   })
 
-  it('spreads equal servers', () => {
+  it('spreads requests over equal servers', () => {
     const names = chosenNames(['a', 'b', 'c', 'd'].map(name => candidate(name)))
     for (const name of ['a', 'b', 'c', 'd']) expect(names.filter(one => one === name).length).to.be.within(30, 70)
   })
 
-  it('follows a prefix only while it saves more than the queue costs', () => {
+  it('follows a cached prefix only while it saves more than the queue costs', () => {
     const others = ['a', 'b', 'c'].map(name => candidate(name))
     const asked = { ...request, prefixSavingMs: 800 }
     expect(new Set(chosenNames([...others, candidate('holder', { hasPrefix: true, queuedSeconds: 0.5 })], 50, asked)))
@@ -77,7 +77,7 @@
       .not.to.include('holder')
   })
 
-  it('tries a slow server again when its interval is old, one request at a time', () => {
+  it('tries a slow server again when its measurement is old, one request at a time', () => {
     const fast = ['a', 'b', 'c'].map(name => candidate(name, { queuedSeconds: 2 }))
     const slow = candidate('slow', { tokenIntervalMs: 300 })
     expect(chosenNames([...fast, slow])).not.to.include('slow')
@@ -86,16 +86,16 @@
     expect(chosenNames([...fast, { ...faded, unreportedSeconds: 0.1 }])).not.to.include('slow')
   })
 
-  // A model that nobody has loaded is believed to load slower than its callers can wait. Refused
-  // here, no agent ever hears of it, and it is never loaded.
-  it('sends on to a cold slot even if it gets ready too late, so that its load begins', () => {
+  // A model that is loaded nowhere is expected to load more slowly than its callers can wait. If routers refused its requests,
+  // no agent would receive one, and the model would never be loaded.
+  it('sends a request to a cold slot even if that becomes ready too late, so that its load starts', () => {
     const cold = candidate('cold', { state: 'cold', readyInMs: 200_000 })
     expect(chosenNames([cold], 3)).to.deep.equal(['cold', 'cold', 'cold'])
     const loading = candidate('loading', { state: 'loading', readyInMs: 200_000 })
     expect(new Set(chosenNames([loading, cold]))).to.deep.equal(new Set(['none']))
   })
 
-  it('refuses only what nobody gets ready in time, and leaves the queue to the agent', () => {
+  it('refuses only when no server becomes ready in time, and leaves queue limits to the agent', () => {
     const late = candidate('late', { state: 'loading', readyInMs: 200_000 })
     expect(new Set(chosenNames([late, late, late]))).to.deep.equal(new Set(['none']))
     const others = Array.from({ length: 8 }, () => late)
@@ -113,7 +113,7 @@
     }
   })
 
-  it('looks at a bounded number of servers however many groups there are', () => {
+  it('considers a bounded number of servers regardless of the number of groups', () => {
     const digests = Array.from({ length: 60 }, (_, group) =>
       digestGroup(`dc-${group}`, Array.from({ length: 120 }, (_, index) => candidate(`${group}-${index}`, { queuedSeconds: index }))))
     const candidates = candidatesFromDigests(digests, 'dc-7', makeRandom(3))
--- a/packages/decisions/src/routing/moveStream.test.ts
+++ b/packages/decisions/src/routing/moveStream.test.ts
@@ -7,11 +7,11 @@
 }
 
 describe('moving a slow stream', () => {
-  it('moves what is much faster elsewhere', () => {
+  it('moves a stream that is much faster elsewhere', () => {
     expect(moveSlowStream(view)).to.equal(true)
   })
 
-  it('leaves alone what is near its end, unrepeatable, slow everywhere or too late', () => {
+  it('keeps streams that are nearly done, not repeatable, slow everywhere or too late', () => {
     expect(moveSlowStream({ ...view, doneTokens: 97 })).to.equal(false)
     expect(moveSlowStream({ ...view, isRepeatable: false })).to.equal(false)
     expect(moveSlowStream({ ...view, otherIntervalMs: 250 })).to.equal(false)
--- a/packages/decisions/src/routing/summarizeGroups.ts
+++ b/packages/decisions/src/routing/summarizeGroups.ts
@@ -3,33 +3,33 @@
 
 import type { RoutingCandidate } from './types.js'
 
-/** The least loaded members of a group of backend servers, such as a data centre, as its digest carries them. */
+/** The least loaded members of a group of backend servers, such as a data centre. */
 export interface GroupDigest {
   readonly group: string
   readonly members: readonly RoutingCandidate[]
 }
 
 /**
- * Members that a digest carries. One, the group's minimum, would send every router to the same server until the next
- * digest; with eight, two random choices spread them.
+ * Maximum number of members in a digest. With one, the group's minimum, every router would send to the same server until the
+ * next digest. With eight, two random choices spread the requests.
  */
-const DIGEST_MEMBERS = 8
-/** Groups that a choice compares. */
-const GROUP_SAMPLE = 2
+const MAX_DIGEST_MEMBERS = 8
+/** Number of other groups that a choice considers. */
+const GROUP_SAMPLE_COUNT = 2
 
 const waitMs = (candidate: RoutingCandidate): number =>
   candidate.readyInMs + (candidate.queuedSeconds + candidate.unreportedSeconds) * MS_PER_SECOND
 
-/** Puts a candidate where its wait belongs and drops what is over the bound. */
+/** Inserts a candidate in order of its wait and drops the last one above the maximum. */
 const insertByWait = (members: RoutingCandidate[], candidate: RoutingCandidate): void => {
   let index = members.length
   while (index > 0 && waitMs(members[index - 1]!) > waitMs(candidate)) index -= 1
-  if (index >= DIGEST_MEMBERS) return
+  if (index >= MAX_DIGEST_MEMBERS) return
   members.splice(index, 0, candidate)
-  if (members.length > DIGEST_MEMBERS) members.pop()
+  if (members.length > MAX_DIGEST_MEMBERS) members.pop()
 }
 
-/** Keeps the least loaded members of a group; done once for each digest, not for each decision. */
+/** Reduces a group to its least loaded members; done once per digest, not per decision. */
 export const digestGroup = (group: string, candidates: readonly RoutingCandidate[]): GroupDigest => {
   const members: RoutingCandidate[] = []
   for (const candidate of candidates) insertByWait(members, candidate)
@@ -37,15 +37,15 @@
 }
 
 /**
- * Candidates for one choice out of digests: those of the own data centre and of a few random other groups. The number
- * is bounded, so that a decision costs the same at ten backend servers and at thousands.
+ * Candidates for one choice: the members of the own data centre's digest and of a few random other groups. Their number
+ * is bounded, so that a decision costs the same with ten backend servers as with thousands.
  *
- * The aggregation follows the paper on stateless CPU-aware balancing (the minimum of a group stands for the group),
- * but for carrying several members in place of the one.
+ * The aggregation follows the paper on stateless CPU-aware load balancing, where a group is represented by its minimum,
+ * except that a digest carries several members.
  */
 export const candidatesFromDigests = (digests: readonly GroupDigest[], ownGroup: string, random: () => number): readonly RoutingCandidate[] => {
   const own = digests.find(digest => digest.group === ownGroup)
   const others = digests.filter(digest => digest.group !== ownGroup)
-  const drawn = sampleIndices(others.length, GROUP_SAMPLE, random).flatMap(index => others[index]?.members ?? [])
+  const drawn = sampleIndices(others.length, GROUP_SAMPLE_COUNT, random).flatMap(index => others[index]?.members ?? [])
   return [...own?.members ?? [], ...drawn]
 }
--- a/packages/decisions/src/routing/types.ts
+++ b/packages/decisions/src/routing/types.ts
@@ -1,6 +1,6 @@
 import type { InstanceName, LogOffset } from '@figmount/base'
 
-/** What a router knows of one slot of the wanted model when it chooses where to send a request. */
+/** A router's view of one slot for the requested model. */
 export interface RoutingCandidate {
   readonly instance: InstanceName
   readonly slotIndex: number
@@ -8,39 +8,39 @@
   readonly state: 'cold' | 'disk' | 'memory' | 'loading' | 'ready' | 'unloading'
   /** Expected time until the model is ready there; 0 when it is. */
   readonly readyInMs: number
-  /** Work running there, and queued at the request's priority and above where that is reported, in seconds. */
+  /** Running work, and work queued at the request's priority and above if that is reported, in seconds. */
   readonly queuedSeconds: number
-  /** Own sends since that report was made, in seconds of expected work. */
+  /** Expected work of this router's own sends since that report, in seconds. */
   readonly unreportedSeconds: number
   readonly reportAgeMs: number
   readonly batchSize: number
-  /** Smoothed time between tokens of one stream, a sign of a slow backend server. */
+  /** Smoothed time between the tokens of one stream; a high value indicates a slow backend server. */
   readonly tokenIntervalMs: number
   readonly hasAdapter: boolean
-  /** True when the prompt prefix is believed to be cached there. */
+  /** The prompt prefix is probably cached there. */
   readonly hasPrefix: boolean
   readonly sameDataCentre: boolean
-  /** Age of the last token that `tokenIntervalMs` was measured on; `reportAgeMs` when left out. */
+  /** Age of the last token that `tokenIntervalMs` was measured on; `reportAgeMs` when omitted. */
   readonly tokenIntervalAgeMs?: number
 }
 
-/** The request as far as routing needs it. */
+/** Properties of a request that routing depends on. */
 export interface RoutingRequest {
   readonly remainingMs: number
   readonly expectedTokens: number
   readonly priority: number
-  /** Load cost and time that a cold slot would need. */
+  /** Time that a cold slot needs to become ready. */
   readonly coldStartMs: number
   /** Prefill time that a cached prefix saves. */
   readonly prefixSavingMs?: number
-  /** Time that loading the adapter takes; 0 when the request wants none. */
+  /** Time to load the adapter; 0 when the request uses none. */
   readonly adapterLoadMs?: number
 }
 
 export type RoutingChoice =
   | { readonly kind: 'send', readonly candidate: RoutingCandidate, readonly estimatedWaitMs: number }
-  /** No candidate can serve it in time; `estimatedWaitMs` is the best that was found. */
+  /** No candidate can serve the request in time; `estimatedWaitMs` is the shortest wait that was found. */
   | { readonly kind: 'none', readonly estimatedWaitMs: number }
 
-/** Picks a backend server. `random` yields numbers in [0, 1). */
+/** Chooses a backend server. `random` yields numbers in [0, 1). */
 export type ChooseBackend = (request: RoutingRequest, candidates: readonly RoutingCandidate[], random: () => number) => RoutingChoice
