--- a/packages/decisions/src/eviction/evictLeastRecent.ts
+++ b/packages/decisions/src/eviction/evictLeastRecent.ts
@@ -1,6 +1,6 @@
 import type { ChooseVictims, ResidentView } from './types.js'
 
-/** Baseline: least recently used first; nothing that is pinned, runs or is waited for. */
+/** Baseline: least recently used first, except residents that are pinned, running or waited for. */
 export const evictLeastRecent: ChooseVictims = (residents, neededMb) => {
   const candidates = residents
     .filter(resident => !resident.pinned && resident.runningCount === 0 && resident.queuedCount === 0)
--- a/packages/decisions/src/eviction/types.ts
+++ b/packages/decisions/src/eviction/types.ts
@@ -1,6 +1,6 @@
 import type { ModelId } from '@figmount/base'
 
-/** A resident model or adapter as eviction sees it. */
+/** A loaded model or adapter as a candidate for eviction. */
 export interface ResidentView {
   readonly model: ModelId
   /** Empty for the model itself; evicting a model evicts its adapters. */
@@ -9,14 +9,14 @@
   readonly runningCount: number
   readonly queuedCount: number
   readonly idleMs: number
-  /** Expected time to bring it back. */
+  /** Expected time to load it again. */
   readonly reloadMs: number
   readonly priority: number
   /** Expected requests per hour. */
   readonly requestsPerHour: number
-  /** True when the configuration keeps it loaded. */
+  /** The configuration keeps it loaded. */
   readonly pinned: boolean
 }
 
-/** Picks what to unload so that `neededMb` more become free; undefined when that cannot be had. */
+/** Chooses residents to unload so that `neededMb` more become free; undefined when that is impossible. */
 export type ChooseVictims = (residents: readonly ResidentView[], neededMb: number) => readonly ResidentView[] | undefined
