--- a/packages/decisions/src/keepalive/keepByHistory.ts
+++ b/packages/decisions/src/keepalive/keepByHistory.ts
@@ -1,22 +1,22 @@
 import type { IdleView, KeepAlive } from './types.js'
 
 /**
- * Ms of idle accelerator that one ms of cold start is worth at equal weights. A crew that waits is dearer than a card
- * that idles; the consortium's and Carpatica's curves in `docs/design/keepalive.md` show what it brings about.
+ * Ms of idle accelerator time that one ms of cold start costs at equal weights, because waiting people cost more than an idle
+ * card. The consortium's and Carpatica's curves in `docs/design/keepalive.md` show the effect.
  */
-const COLD_START_WORTH = 60
-/** Weight of the prior against observed gaps: two gaps' worth, so that a handful of own gaps outweighs it. */
-const PRIOR_COUNT = 2
+const COLD_START_COST_FACTOR = 60
+/** Weight of the prior relative to observed gaps: that of two gaps, so that a handful of observed gaps outweighs it. */
+const PRIOR_WEIGHT = 2
 /**
- * Gaps to expect of a model nobody knows: ten seconds to a week, even on a log scale, as the use of rare models is
- * spread over it. Steps of a half are fine enough that no single one of them holds a model.
+ * Prior distribution of gaps for a model without history: from ten seconds to a week, uniform on a log scale, like the use of
+ * rarely used models. Steps of a factor of 1.5 are fine enough that no single one decides on its own.
  */
 const PRIOR_GAPS_MS: readonly number[] = Array.from({ length: 28 }, (_, step) => 10_000 * 1.5 ** step)
-/** Longest stay decided at a time; the decision is taken anew then. */
-const LONGEST_MS = 6 * 3_600_000
-/** A gap is covered with this much room, since the next one of a regular pattern is not exactly the same. */
+/** Maximum time per decision, after which it is made again. */
+const MAX_KEEP_MS = 6 * 3_600_000
+/** Factor applied to observed gaps, because the next gap of a regular pattern is not exactly the same. */
 const GAP_MARGIN = 1.1
-/** Full pressure makes idle memory this much dearer. */
+/** Additional cost of idle memory at full memory pressure, as a multiple of its normal cost. */
 const PRESSURE_FACTOR = 3
 
 interface WeightedGap {
@@ -24,52 +24,52 @@
   readonly weight: number
 }
 
-/** Own gaps and the prior, as far as they are still possible after the present idle time; shortest first. */
+/** Observed gaps and the prior that are still possible after the current idle time; shortest first. */
 const possibleGaps = (view: IdleView): readonly WeightedGap[] => {
   const own = view.pastGapsMs.map(gapMs => ({ gapMs: gapMs * GAP_MARGIN, weight: 1 }))
-  const prior = PRIOR_GAPS_MS.map(gapMs => ({ gapMs, weight: PRIOR_COUNT / PRIOR_GAPS_MS.length }))
+  const prior = PRIOR_GAPS_MS.map(gapMs => ({ gapMs, weight: PRIOR_WEIGHT / PRIOR_GAPS_MS.length }))
   return [...own, ...prior].filter(gap => gap.gapMs > view.idleMs).sort((a, b) => a.gapMs - b.gapMs)
 }
 
-/** Cost of one idle ms, in the unit of `costOfColdStart`. */
-export const priceOfIdle = (view: IdleView): number => {
+/** Cost of one ms of idle time, in the unit of `coldStartCost`. */
+export const idleCostPerMs = (view: IdleView): number => {
   const pressure = 1 + PRESSURE_FACTOR * (view.memoryPressure ?? 0)
   return view.idleCostWeight * view.memoryShare * pressure
 }
 
 /** Cost of one cold start of the model. */
-export const costOfColdStart = (view: IdleView): number =>
-  (1 - view.idleCostWeight) * COLD_START_WORTH * view.reloadMs
+export const coldStartCost = (view: IdleView): number =>
+  (1 - view.idleCostWeight) * COLD_START_COST_FACTOR * view.reloadMs
 
 /**
- * Keeps an idle model until the moment that costs least by its own arrival history: for each past gap the cost of
- * staying that long is the idle time until the next use, and of leaving earlier a cold start.
+ * Keeps an idle model for the time with the lowest expected cost over its gap history: for each past gap, staying that long costs
+ * the idle time until the next use, and leaving earlier costs a cold start.
  *
- * Load pattern: most models idle, each with its own rhythm: one every few minutes, one each morning, one a month.
- * Without it a fixed time-out keeps the monthly one as long as the busy one, and drops the one that comes back a
- * minute after the time-out each time.
+ * Load pattern: most models are idle, each with its own interval: minutes, a day or a month. A fixed timeout keeps the
+ * monthly model as long as the busy one, and unloads the one that is used again a minute after the timeout each
+ * time.
  *
- * With weight 0 a model stays for as long as memory allows, with weight 1 it leaves at once. A model without history
- * gets a spread-out prior, which amounts to the break-even stay of the ski-rental rule.
+ * With weight 0 a model stays as long as memory allows, with weight 1 it is unloaded at once. A model without history
+ * gets a spread-out prior, which results in the break-even time of the ski-rental problem.
  */
 export const keepByHistory: KeepAlive = view => {
-  if (view.idleCostWeight <= 0) return LONGEST_MS
+  if (view.idleCostWeight <= 0) return MAX_KEEP_MS
   if (view.idleCostWeight >= 1) return 0
   const gaps = possibleGaps(view)
-  const price = priceOfIdle(view)
-  const coldCost = costOfColdStart(view)
+  const costPerMs = idleCostPerMs(view)
+  const coldCost = coldStartCost(view)
   let remainingWeight = gaps.reduce((sum, gap) => sum + gap.weight, 0)
-  let spentMs = 0
+  let weightedIdleMs = 0
   let bestMs = 0
   let bestCost = remainingWeight * coldCost
   for (const gap of gaps) {
     const stayMs = gap.gapMs - view.idleMs
     remainingWeight -= gap.weight
-    spentMs += gap.weight * stayMs
-    const cost = price * (spentMs + remainingWeight * stayMs) + remainingWeight * coldCost
+    weightedIdleMs += gap.weight * stayMs
+    const cost = costPerMs * (weightedIdleMs + remainingWeight * stayMs) + remainingWeight * coldCost
     if (cost >= bestCost) continue
     bestCost = cost
     bestMs = stayMs
   }
-  return Math.min(LONGEST_MS, bestMs)
+  return Math.min(MAX_KEEP_MS, bestMs)
 }
--- a/packages/decisions/src/keepalive/planPreload.ts
+++ b/packages/decisions/src/keepalive/planPreload.ts
@@ -1,42 +1,42 @@
-import { costOfColdStart, priceOfIdle } from './keepByHistory.js'
+import { coldStartCost, idleCostPerMs } from './keepByHistory.js'
 
 import type { IdleView } from './types.js'
 
-/** Says after which time an unloaded model should be loaded again unasked; undefined when it should not. */
+/** Time after which an unloaded model should be loaded again ahead of demand; undefined when it should not. */
 export type PlanPreload = (view: IdleView) => number | undefined
 
-/** Baseline: models are loaded when somebody asks. */
+/** Baseline: models are loaded on demand only. */
 export const neverPreload: PlanPreload = () => undefined
 
-/** Fewer gaps are no rhythm: three equal ones in a row happen by chance to one in a few dozen models. */
-const LEAST_GAPS = 6
-/** Spread of the middle eight in ten gaps over their median, up to which use counts as regular. */
-const REGULAR_SPREAD = 0.3
-/** Loaded this much before the earliest of the usual gaps, so that loading itself is done by then. */
+/** Minimum number of gaps. Three equal ones in a row happen by chance for one in a few dozen models. */
+const MIN_GAPS = 6
+/** Maximum spread of the middle eight in ten gaps, relative to their median, for use to count as regular. */
+const MAX_REGULAR_SPREAD = 0.3
+/** Share of the earliest usual gap after which loading should be complete. */
 const EARLY_SHARE = 0.95
 
-/** Part of the uses that come after a preload and so save their cold start. */
+/** Share of uses that arrive after a preload and therefore avoid their cold start. */
 const HIT_SHARE = 0.9
 
-const at = (sorted: readonly number[], share: number): number => sorted[Math.floor(share * (sorted.length - 1))] ?? 0
+const quantile = (sorted: readonly number[], share: number): number => sorted[Math.floor(share * (sorted.length - 1))] ?? 0
 
 /**
- * Loads a model again shortly before its next use when it is used at regular gaps.
+ * Loads a model again shortly before its next use when it is used at regular intervals.
  *
- * Load pattern: a scheduled job wakes a model every hour or every morning. Without it the choice is between a cold
- * start each time and keeping the model for the whole gap. On the simulated sites it cuts the mean wait to a half or a
+ * Load pattern: a scheduled job uses a model every hour or every morning. The alternatives are a cold start each time or
+ * keeping the model for the whole gap. On the simulated sites preloading cuts the mean wait to a half or a
  * third at weights of 0.5 and more, for a tenth more idle time (`docs/design/keepalive.md`).
  */
 export const preloadRegular: PlanPreload = view => {
-  if (view.pastGapsMs.length < LEAST_GAPS || view.idleCostWeight >= 1) return undefined
+  if (view.pastGapsMs.length < MIN_GAPS || view.idleCostWeight >= 1) return undefined
   const sorted = [...view.pastGapsMs].sort((a, b) => a - b)
-  const earlyMs = at(sorted, 0.1)
-  const medianMs = at(sorted, 0.5)
-  if (at(sorted, 0.9) - earlyMs > medianMs * REGULAR_SPREAD) return undefined
+  const earlyMs = quantile(sorted, 0.1)
+  const medianMs = quantile(sorted, 0.5)
+  if (quantile(sorted, 0.9) - earlyMs > medianMs * MAX_REGULAR_SPREAD) return undefined
   const loadAtMs = earlyMs * EARLY_SHARE - view.reloadMs
   if (loadAtMs <= view.idleMs) return undefined
-  const idleCost = priceOfIdle(view) * (medianMs - loadAtMs)
-  // Not worth its idle time: keep-alive would unload it again at once, and the load would be for nothing.
-  if (idleCost > costOfColdStart(view) * HIT_SHARE) return undefined
+  const idleCost = idleCostPerMs(view) * (medianMs - loadAtMs)
+  // If the idle time costs more than the cold start, keep-alive would unload the model again at once.
+  if (idleCost > coldStartCost(view) * HIT_SHARE) return undefined
   return loadAtMs - view.idleMs
 }
