--- a/packages/decisions/src/loading/types.ts
+++ b/packages/decisions/src/loading/types.ts
@@ -1,6 +1,6 @@
 import type { ModelId } from '@figmount/base'
 
-/** A load that waits for its turn at the weight store. */
+/** A load that waits for the weight store. */
 export interface WaitingLoad {
   readonly model: ModelId
   readonly waitingCount: number
@@ -11,5 +11,5 @@
   readonly tier: 'memory' | 'disk' | 'remote'
 }
 
-/** Orders waiting loads, the one to start first in front. */
+/** Sorts waiting loads, the one to start first in front. */
 export type OrderLoads = (loads: readonly WaitingLoad[], nowMs: number) => readonly WaitingLoad[]
