--- a/packages/decisions/src/forwarding/retryAllowance.ts
+++ b/packages/decisions/src/forwarding/retryAllowance.ts
@@ -1,9 +1,9 @@
-/** What the platform allows all routers together. */
+/** Limits of the platform for the repeats of all routers together. */
 export interface RetryLimits {
-  /** Repeats for each request. */
+  /** Repeats per request. */
   readonly ratio: number
   readonly windowMs: number
-  /** Repeats in a window beyond the ratio, over all routers. */
+  /** Additional repeats per window, over all routers. */
   readonly slackCount: number
 }
 
@@ -13,8 +13,8 @@
   readonly repeatTimesMs: readonly number[]
 }
 
-/** Part of the platform's allowance that is used: the rest covers requests on their way and windows that don't align. */
-const USED_SHARE = 0.8
+/** Share of the limit that is used. The rest covers requests in transit and windows that do not align. */
+const USABLE_SHARE = 0.8
 
 const countSince = (timesMs: readonly number[], sinceMs: number): number => {
   let count = 0
@@ -25,17 +25,17 @@
 }
 
 /**
- * Whether a router may send one request again. It spends at most its own requests' part and an equal part of the
- * slack, so the sum over all routers stays within the platform's bound without any message between them.
+ * Whether a router may send a request again. It uses at most the ratio of its own requests and an equal share of the slack, so
+ * that all routers together stay within the platform's limit without communicating.
  *
- * Load pattern: a backend server dies and every request there comes back, at routers that cannot hear each other.
- * Without it the repeats of many routers add up and overload the servers that are left. `routerCount` is the most
- * routers seen so far: one that is only out of sight still spends its part.
+ * Load pattern: a backend server crashes and all of its requests are repeated by routers that may be unable to reach each other.
+ * The repeats of many routers would add up and overload the remaining servers. `routerCount` is the largest number of
+ * routers seen so far, because a router that is merely unreachable still uses its share.
  */
 export const mayRepeat = (limits: RetryLimits, history: RetryHistory, routerCount: number, nowMs: number): boolean => {
   const sinceMs = nowMs - limits.windowMs
   const requests = countSince(history.requestTimesMs, sinceMs)
   const repeats = countSince(history.repeatTimesMs, sinceMs)
   const allowed = requests * limits.ratio + limits.slackCount / Math.max(1, routerCount)
-  return repeats + 1 <= allowed * USED_SHARE
+  return repeats + 1 <= allowed * USABLE_SHARE
 }
