--- a/packages/decisions/src/estimates/observe.test.ts
+++ b/packages/decisions/src/estimates/observe.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai'
 
-import { guess, guessModel, observe, observeWait, upperBound } from './observe.js'
+import { guess, initialModelEstimates, observe, observeWait, upperBound } from './observe.js'
 
 describe('estimates', () => {
-  it('replace a guess by the first observation', () => {
+  it('replace the initial value by the first observation', () => {
     expect(observe(guess(500), 100)).to.deep.equal({ mean: 100, deviation: 50, observedCount: 1 })
   })
 
-  it('bound nine in ten of a spread of values', () => {
+  it('bound nine in ten of the observed values', () => {
     let estimate = guess(1)
     let coveredCount = 0
     for (let index = 0; index < 1_000; index++) {
@@ -19,9 +19,9 @@
   })
 
   it('measure their own error', () => {
-    let estimates = guessModel(100, 30, 20_000)
+    let estimates = initialModelEstimates(100, 30, 20_000)
     for (let index = 0; index < 50; index++) estimates = observeWait(estimates, 9_000, 19_000)
     expect(estimates.waitRatio.mean).to.be.closeTo(2, 0.01)
-    expect(observeWait(guessModel(1, 1, 1), 0, 300).waitRatio.mean).to.equal(1.3)
+    expect(observeWait(initialModelEstimates(1, 1, 1), 0, 300).waitRatio.mean).to.equal(1.3)
   })
 })
--- a/packages/decisions/src/estimates/types.ts
+++ b/packages/decisions/src/estimates/types.ts
@@ -1,15 +1,15 @@
-/** A smoothed measure with its own mean deviation, in the unit of what is observed. A plain value, folded over observations. */
+/** Smoothed mean and mean deviation of an observed value, in its unit. A plain value, updated with each observation. */
 export interface Estimate {
   readonly mean: number
   readonly deviation: number
   readonly observedCount: number
 }
 
-/** What is known of one model's requests. */
+/** Estimates for the requests of one model. */
 export interface ModelEstimates {
   readonly tokens: Estimate
   readonly tokenIntervalMs: Estimate
   readonly loadMs: Estimate
-  /** Observed over predicted wait: 1 when predictions are right. */
+  /** Ratio of observed to predicted wait; 1 when predictions are accurate. */
   readonly waitRatio: Estimate
 }
