--- a/packages/decisions/src/simulation/batch.ts
+++ b/packages/decisions/src/simulation/batch.ts
@@ -1,4 +1,4 @@
-import { guess, guessModel, observe, observeWait, upperBound } from '../estimates/observe.js'
+import { guess, initialModelEstimates, observe, observeWait, upperBound } from '../estimates/observe.js'
 
 import { SimulationFacts } from './constants.js'
 
@@ -71,7 +71,7 @@
   let tokenAtMs = 0
   /** Observed over expected tokens. */
   let lengthRatio: Estimate = { mean: 1, deviation: 0, observedCount: 0 }
-  let model: ModelEstimates = guessModel(0, 0, 0)
+  let model: ModelEstimates = initialModelEstimates(0, 0, 0)
 
   const slowness = (): number => {
     const nowMs = events.nowMs()
--- a/packages/decisions/src/simulation/keepalive/keepPolicies.ts
+++ b/packages/decisions/src/simulation/keepalive/keepPolicies.ts
@@ -1,6 +1,6 @@
 import { evictLeastLoss } from '../../eviction/evictLeastLoss.js'
 import { evictLeastRecent } from '../../eviction/evictLeastRecent.js'
-import { costOfColdStart, keepByHistory, priceOfIdle } from '../../keepalive/keepByHistory.js'
+import { coldStartCost, keepByHistory, idleCostPerMs } from '../../keepalive/keepByHistory.js'
 import { keepFixedTime } from '../../keepalive/keepFixedTime.js'
 import { neverPreload, preloadRegular } from '../../keepalive/planPreload.js'
 
@@ -26,7 +26,7 @@
 
 /** The best decision for each gap by itself, knowing when the next use comes. */
 export const withHindsight = (idleCostWeight: number): KeepPolicies => ({
-  keep: (view, nextUseInMs) => priceOfIdle(view) * nextUseInMs < costOfColdStart(view) ? nextUseInMs + 1 : 0,
+  keep: (view, nextUseInMs) => idleCostPerMs(view) * nextUseInMs < coldStartCost(view) ? nextUseInMs + 1 : 0,
   planPreload: neverPreload,
   chooseVictims: evictLeastLoss,
   idleCostWeight
