--- a/packages/decisions/src/loading/orderByNeed.test.ts
+++ b/packages/decisions/src/loading/orderByNeed.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 
-import { backOffByNeed } from './backOff.js'
+import { backOffByNeed } from './pace.js'
 import { orderByNeed } from './orderByNeed.js'
 
 import type { ModelId } from '@figmount/base'
--- a/packages/decisions/src/simulation/simulateStoreRush.test.ts
+++ b/packages/decisions/src/simulation/simulateStoreRush.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 
-import { backOffByNeed, backOffEqually } from '../loading/backOff.js'
+import { backOffByNeed, backOffEqually } from '../loading/pace.js'
 import { shiftStart, simulateStoreRush } from './simulateStoreRush.js'
 
 describe('rush to the weight store', () => {
--- a/packages/decisions/src/simulation/simulateStoreRush.ts
+++ b/packages/decisions/src/simulation/simulateStoreRush.ts
@@ -1,6 +1,6 @@
 import { makeRandom } from './makeRandom.js'
 
-import type { ChooseLoadBackoff, LoadPaceView } from '../loading/backOff.js'
+import type { ChooseLoadBackoff, LoadPaceView } from '../loading/pace.js'
 
 /** One agent's load in a rush. */
 export interface RushLoad {
--- a/scripts/decisions/rushTable.ts
+++ b/scripts/decisions/rushTable.ts
@@ -1,4 +1,4 @@
-import { backOffByNeed, backOffEqually } from '../../packages/decisions/src/loading/backOff.js'
+import { backOffByNeed, backOffEqually } from '../../packages/decisions/src/loading/pace.js'
 import { shiftStart, simulateStoreRush } from '../../packages/decisions/src/simulation/simulateStoreRush.js'
 
 import type { RushLoad, RushMeasures, RushWay } from '../../packages/decisions/src/simulation/simulateStoreRush.js'
