--- a/packages/decisions/src/simulation/batch.ts
+++ b/packages/decisions/src/simulation/batch.ts
@@ -1,15 +1,15 @@
 import { guess, initialModelEstimates, observe, observeWait, upperBound } from '../estimates/observe.js'
 
-import { SimulationFacts } from './constants.js'
+import { SimulationConstants } from './constants.js'
 
 import type { ModelId } from '@figmount/base'
 import type { Estimate, ModelEstimates } from '../estimates/types.js'
 import type { WaitingRequest } from '../queueing/types.js'
 import type { EventQueue } from './eventQueue.js'
 import type { Attempt, Scenario } from './types.js'
-import type { Held } from './waitingRoom.js'
+import type { PendingAttempt } from './attemptQueue.js'
 
-/** How far an attempt has come on a server. */
+/** Progress of an attempt on a server. */
 export interface Progress {
   readonly isRunning: boolean
   readonly doneTokens: number
@@ -17,31 +17,31 @@
   readonly firstTokenAtMs: number
 }
 
-interface Running extends Held {
+interface Running extends PendingAttempt {
   readonly firstTokenAtMs: number
   readonly intervalMs: number
 }
 
-/** What one simulated engine runs, and what its agent has measured of it. */
+/** Requests that a simulated engine runs, and what its agent has measured. */
 export interface Batch {
   readonly size: () => number
   readonly requests: () => readonly WaitingRequest[]
   readonly countOf: (model: ModelId) => number
-  readonly start: (held: Held) => void
-  /** Ends an attempt without an answer; false when it does not run here. */
+  readonly start: (held: PendingAttempt) => void
+  /** Ends an attempt without an answer; false when it is not running here. */
   readonly cancel: (attempt: Attempt) => boolean
-  readonly clear: () => readonly Held[]
+  readonly clear: () => readonly PendingAttempt[]
   readonly progressOf: (attempt: Attempt) => Progress | undefined
   readonly isDown: () => boolean
-  /** True time that a request takes, prompt included, at the present speed. */
-  readonly trueServiceMs: (attempt: Attempt) => number
+  /** Actual duration of a request at the current speed, including the prompt. */
+  readonly actualServiceMs: (attempt: Attempt) => number
   readonly intervalMs: () => number
   readonly tokenAtMs: () => number
-  /** Expected tokens that running requests still have to make. */
-  readonly leftTokens: () => number
-  /** Time that the whole batch takes for so many tokens. */
+  /** Expected tokens that running requests have yet to generate. */
+  readonly remainingTokens: () => number
+  /** Time in which the whole batch generates this many tokens. */
   readonly secondsOf: (tokens: number) => number
-  /** Requests that can be served a second, 0 when unknown. */
+  /** Requests per second that can be served; 0 when unknown. */
   readonly capacityPerSecond: () => number
   readonly boundTokens: (attempt: Attempt) => number
   readonly meanTokens: () => number
@@ -53,33 +53,33 @@
   readonly index: number
   readonly events: EventQueue
   readonly scenario: Scenario
-  /** Called when a request has made its last token. */
-  readonly onServed: (held: Held, firstTokenAtMs: number) => void
+  /** Called when a request has generated its last token. */
+  readonly onServed: (held: PendingAttempt, firstTokenAtMs: number) => void
 }
 
-/** The prompt's work, as the tokens that take as long. */
-export const PREFILL_TOKENS = SimulationFacts.prefillMs / SimulationFacts.tokenIntervalMs
+/** Cost of a prompt, as the number of tokens that take as long. */
+export const PREFILL_TOKENS = SimulationConstants.prefillMs / SimulationConstants.tokenIntervalMs
 
-/** Tokens after which the interval of a stream shows in the measurements. */
+/** Number of tokens after which a stream's token interval is measured. */
 const MEASURED_TOKENS = 8
 
-/** Makes an empty batch. */
+/** Creates an empty batch. */
 export const createBatch = ({ index, events, scenario, onServed }: BatchEnvironment): Batch => {
   const running = new Map<string, Running>()
   let prefixes: readonly string[] = []
-  let interval: Estimate = guess(SimulationFacts.tokenIntervalMs)
+  let interval: Estimate = guess(SimulationConstants.tokenIntervalMs)
   let tokenAtMs = 0
-  /** Observed over expected tokens. */
+  /** Ratio of generated to expected tokens. */
   let lengthRatio: Estimate = { mean: 1, deviation: 0, observedCount: 0 }
   let model: ModelEstimates = initialModelEstimates(0, 0, 0)
 
   const slowness = (): number => {
     const nowMs = events.nowMs()
-    const hits = scenario.disturbances.filter(one => one.fromMs <= nowMs && nowMs < one.toMs && (one.server ?? index) === index)
-    return Math.max(1, ...hits.map(hit => hit.slowness))
+    const active = scenario.disturbances.filter(one => one.fromMs <= nowMs && nowMs < one.toMs && (one.server ?? index) === index)
+    return Math.max(1, ...active.map(hit => hit.slowness))
   }
 
-  /** What streams that run now measure; the smoothed past when none has come far enough. */
+  /** Mean interval of the running streams that have one; otherwise the smoothed interval of the past. */
   const intervalMs = (): number => {
     const measured = [...running.values()].filter(one => events.nowMs() > one.firstTokenAtMs + one.intervalMs)
     if (measured.length === 0) return interval.mean
@@ -91,12 +91,12 @@
     tokenAtMs = events.nowMs()
   }
 
-  const madeTokens = (one: Running): number => Math.max(0, events.nowMs() - one.firstTokenAtMs) / one.intervalMs
+  const generatedTokens = (one: Running): number => Math.max(0, events.nowMs() - one.firstTokenAtMs) / one.intervalMs
   const secondsOf = (tokens: number): number => tokens * intervalMs() / scenario.batchSlots / 1_000
 
   const cachePrefix = (prefix: string): void => {
     if (prefix === '') return
-    prefixes = [prefix, ...prefixes.filter(one => one !== prefix)].slice(0, SimulationFacts.prefixesPerServer)
+    prefixes = [prefix, ...prefixes.filter(one => one !== prefix)].slice(0, SimulationConstants.prefixesPerServer)
   }
 
   const finish = (one: Running): void => {
@@ -107,7 +107,7 @@
     onServed(one, firstTokenAtMs ?? one.firstTokenAtMs)
   }
 
-  const observeStart = (held: Held): void => {
+  const observeStart = (held: PendingAttempt): void => {
     const tokens = observe(model.tokens, held.waiting.expectedTokens)
     model = observeWait({ ...model, tokens }, held.predictedMs, events.nowMs() - held.waiting.arrivedAtMs)
   }
@@ -119,8 +119,8 @@
     start: held => {
       const { request, doneTokens } = held.attempt
       const factor = slowness()
-      const prefillMs = prefixes.includes(request.prefix) ? SimulationFacts.cachedPrefillMs : SimulationFacts.prefillMs
-      const one: Running = { ...held, firstTokenAtMs: events.nowMs() + prefillMs * factor, intervalMs: SimulationFacts.tokenIntervalMs * factor }
+      const prefillMs = prefixes.includes(request.prefix) ? SimulationConstants.cachedPrefillMs : SimulationConstants.prefillMs
+      const one: Running = { ...held, firstTokenAtMs: events.nowMs() + prefillMs * factor, intervalMs: SimulationConstants.tokenIntervalMs * factor }
       observeStart(held)
       running.set(request.id, one)
       cachePrefix(request.prefix)
@@ -146,16 +146,16 @@
       if (one?.attempt !== attempt) return undefined
       return {
         isRunning: true,
-        doneTokens: attempt.doneTokens + Math.floor(madeTokens(one)),
+        doneTokens: attempt.doneTokens + Math.floor(generatedTokens(one)),
         intervalMs: one.intervalMs,
         firstTokenAtMs: attempt.firstTokenAtMs ?? one.firstTokenAtMs
       }
     },
     isDown: () => slowness() === Infinity,
-    trueServiceMs: ({ request }) => (SimulationFacts.prefillMs + request.tokens * SimulationFacts.tokenIntervalMs) * slowness(),
+    actualServiceMs: ({ request }) => (SimulationConstants.prefillMs + request.tokens * SimulationConstants.tokenIntervalMs) * slowness(),
     intervalMs,
     tokenAtMs: () => running.size > 0 ? events.nowMs() : tokenAtMs,
-    leftTokens: () => [...running.values()].reduce((sum, one) => sum + Math.max(0, one.waiting.expectedTokens - madeTokens(one)), 0),
+    remainingTokens: () => [...running.values()].reduce((sum, one) => sum + Math.max(0, one.waiting.expectedTokens - generatedTokens(one)), 0),
     secondsOf,
     capacityPerSecond: () => model.tokens.observedCount === 0 ? 0 : 1 / secondsOf(model.tokens.mean),
     boundTokens: ({ request, doneTokens }) => Math.max(1, request.expectedTokens * upperBound(lengthRatio) - doneTokens) + PREFILL_TOKENS,
--- a/packages/decisions/src/simulation/constants.ts
+++ b/packages/decisions/src/simulation/constants.ts
@@ -1,29 +1,29 @@
-/** Fixed facts of the simulated fleet, the same for every policy. */
-export const SimulationFacts = {
-  /** One way between router and agent, within a data centre. */
+/** Parameters of the simulated fleet, equal for all policies. */
+export const SimulationConstants = {
+  /** One-way latency between a router and an agent within a data centre. */
   hopMs: 1,
   reportPeriodMs: 1_000,
-  /** Reports take this long to reach a router. */
+  /** Time until a report reaches a router. */
   reportLagMs: 200,
   tokenIntervalMs: 30,
   prefillMs: 300,
-  /** Prefill with a cached prefix. */
+  /** Prefill time with a cached prefix. */
   cachedPrefillMs: 60,
   prefixesPerServer: 20,
-  /** Requests that may wait at one agent. */
+  /** Maximum number of requests that wait at one agent. */
   maxQueuedCount: 200,
-  /** Tries of a router for one attempt when no budget binds. */
+  /** Maximum number of servers that a router tries for one attempt, regardless of the budgets. */
   routerTries: 3,
   /** Tries after which a retry is charged to the budgets: a refusal costs a server next to nothing. */
   freeTries: 1,
-  /** A router looks at each of its streams this often. */
+  /** Period at which a router checks each of its streams. */
   watchPeriodMs: 2_000,
-  /** A caller whose attempt failed or ran out sends again after this time. */
+  /** Time after which a caller sends again when its attempt failed or missed its deadline. */
   resendMs: 1_000,
-  /** Every so many refusals one is checked by a shadow. */
+  /** One in this many refusals is checked with a shadow. */
   checkEveryRefusal: 8,
   storeConcurrency: 4,
   storeLoadsPerSecond: 2,
-  /** Span over which the rate of service is measured. */
+  /** Window over which the service rate is measured. */
   rateWindowMs: 10_000
 } as const
--- a/packages/decisions/src/simulation/eventQueue.ts
+++ b/packages/decisions/src/simulation/eventQueue.ts
@@ -4,17 +4,17 @@
   readonly fire: () => void
 }
 
-/** Virtual time of one simulation run. Events at the same time fire in the order in which they were added. */
+/** Virtual clock of one simulation run. Events at the same time fire in the order in which they were added. */
 export interface EventQueue {
   readonly nowMs: () => number
   readonly at: (atMs: number, fire: () => void) => void
-  /** Fires all that is due until `untilMs`. */
+  /** Fires all events up to and including `untilMs`. */
   readonly runUntil: (untilMs: number) => void
 }
 
 const isBefore = (a: Event, b: Event): boolean => a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order)
 
-/** A binary heap: the timers of the base package look through all that is pending, too slow for 100,000 arrivals. */
+/** A binary heap. The base package's timers scan all pending ones, which is too slow for 100,000 arrivals. */
 export const createEventQueue = (): EventQueue => {
   const heap: Event[] = []
   let currentMs = 0
@@ -32,7 +32,7 @@
     heap[index] = event
   }
 
-  const sink = (event: Event): void => {
+  const siftDown = (event: Event): void => {
     let index = 0
     for (;;) {
       const leftIndex = index * 2 + 1
@@ -51,7 +51,7 @@
   const pop = (): Event | undefined => {
     const first = heap[0]
     const last = heap.pop()
-    if (first && last && last !== first) sink(last)
+    if (first && last && last !== first) siftDown(last)
     return first
   }
 
--- a/packages/decisions/src/simulation/keepalive/deployments.ts
+++ b/packages/decisions/src/simulation/keepalive/deployments.ts
@@ -9,15 +9,15 @@
 const DAYS = 8
 const WARM_UP_DAYS = 2
 
-/** How the models of a site are used; counts of models of each kind. */
-interface Mix {
-  /** Used every few minutes in working hours. */
+/** Number of models of each usage kind at a site. */
+interface UsageMix {
+  /** Used every few minutes during working hours. */
   readonly daily: number
-  /** Used by a schedule, every half hour to every four hours, within a few percent. */
+  /** Used on a schedule, every half hour to every four hours, with a jitter of a few percent. */
   readonly scheduled: number
-  /** Used at random, some times a day. */
+  /** Used at random, a few times a day. */
   readonly occasional: number
-  /** Used once in some days. */
+  /** Used once every few days. */
   readonly rare: number
 }
 
@@ -27,10 +27,10 @@
   readonly runnerCount: number
   readonly adapterCount: number
   readonly storeLoadsPerSecond: number
-  readonly mix: Mix
+  readonly mix: UsageMix
 }
 
-type Kind = keyof Mix
+type Kind = keyof UsageMix
 const KINDS: readonly Kind[] = ['daily', 'scheduled', 'occasional', 'rare']
 
 const RUNNER_MEMORY_MB = 80_000
@@ -43,7 +43,7 @@
       adapter: '',
       runner: index % site.runnerCount,
       memoryMb,
-      // Half a GB a second from the store, and start-up of the engine.
+      // Half a GB per second from the store, plus the start-up of the engine.
       loadMs: 4_000 + memoryMb * 2
     }
   })
@@ -104,12 +104,12 @@
   }
 }
 
-/** A site of the consortium's size: 39 models and 80 adapters on 8 runners, two loads a second. */
+/** A site of the consortium's size: 39 models and 80 adapters on 8 runners, two loads per second. */
 export const consortium = (): Deployment => makeDeployment({
   name: 'consortium', seed: 101, runnerCount: 8, adapterCount: 80, storeLoadsPerSecond: 2, mix: { daily: 10, scheduled: 6, occasional: 15, rare: 8 }
 })
 
-/** A site of Carpatica's size: 38 models and 95 adapters on 13 runners, four loads a second. */
+/** A site of Carpatica's size: 38 models and 95 adapters on 13 runners, four loads per second. */
 export const carpatica = (): Deployment => makeDeployment({
   name: 'carpatica', seed: 202, runnerCount: 13, adapterCount: 95, storeLoadsPerSecond: 4, mix: { daily: 8, scheduled: 12, occasional: 10, rare: 8 }
 })
--- a/packages/decisions/src/simulation/keepalive/keepPolicies.ts
+++ b/packages/decisions/src/simulation/keepalive/keepPolicies.ts
@@ -6,9 +6,9 @@
 
 import type { KeepPolicies } from './types.js'
 
-const FOR_EVER_MS = 1e12
+const UNLIMITED_MS = 1e12
 
-/** What figmount does at a weight. */
+/** The policies that figmount uses, at a given weight of idle cost. */
 export const byHistory = (idleCostWeight: number): KeepPolicies =>
   ({ keep: keepByHistory, planPreload: preloadRegular, chooseVictims: evictLeastLoss, idleCostWeight })
 
@@ -16,15 +16,15 @@
 export const withoutPreload = (idleCostWeight: number): KeepPolicies =>
   ({ ...byHistory(idleCostWeight), planPreload: neverPreload })
 
-/** Baseline: a fixed time-out. */
+/** Baseline: a fixed timeout. */
 export const fixedTime = (keepMs: number): KeepPolicies =>
   ({ keep: keepFixedTime(keepMs), planPreload: neverPreload, chooseVictims: evictLeastRecent, idleCostWeight: 0.5 })
 
-/** Baseline: nothing leaves before its memory is wanted, the least recently used first. */
+/** Baseline: models are unloaded only when their memory is needed, the least recently used first. */
 export const leastRecent = (): KeepPolicies =>
-  ({ keep: () => FOR_EVER_MS, planPreload: neverPreload, chooseVictims: evictLeastRecent, idleCostWeight: 0.5 })
+  ({ keep: () => UNLIMITED_MS, planPreload: neverPreload, chooseVictims: evictLeastRecent, idleCostWeight: 0.5 })
 
-/** The best decision for each gap by itself, knowing when the next use comes. */
+/** The best decision for each gap on its own, given the actual time of the next use. */
 export const withHindsight = (idleCostWeight: number): KeepPolicies => ({
   keep: (view, nextUseInMs) => idleCostPerMs(view) * nextUseInMs < coldStartCost(view) ? nextUseInMs + 1 : 0,
   planPreload: neverPreload,
--- a/packages/decisions/src/simulation/keepalive/simulateKeepAlive.ts
+++ b/packages/decisions/src/simulation/keepalive/simulateKeepAlive.ts
@@ -1,4 +1,4 @@
-import { SimulationFacts } from '../constants.js'
+import { SimulationConstants } from '../constants.js'
 import { createEventQueue } from '../eventQueue.js'
 
 import { createStoreClock } from './storeClock.js'
@@ -8,13 +8,13 @@
 import type { Deployment, Item, KeepMeasures, KeepPolicies, Use } from './types.js'
 
 const HOUR_MS = 3_600_000
-/** Gaps that an agent remembers of a model. */
-const REMEMBERED_GAPS = 32
-/** A load that finds no memory tries again after this time. */
-const ROOM_RETRY_MS = 1_000
+/** Number of gaps that an agent stores per model. */
+const MAX_GAPS = 32
+/** Time after which a load that found no free memory is tried again. */
+const MEMORY_RETRY_MS = 1_000
 const MS_PER_DAY = 24 * HOUR_MS
 
-/** State of one model or adapter; the mutable core of a run. */
+/** Mutable state of one model or adapter during a run. */
 interface ItemState {
   readonly item: Item
   readonly uses: readonly number[]
@@ -30,10 +30,10 @@
 const percentile = (sorted: readonly number[], share: number): number =>
   Math.round(sorted[Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)] ?? 0)
 
-/** Runs a site's uses against keep-alive, preloading and eviction in virtual time; waiting is for loads only. */
+/** Simulates keep-alive, preloading and eviction for a site's uses in virtual time; uses wait only for loads. */
 export const simulateKeepAlive = (deployment: Deployment, policies: KeepPolicies): KeepMeasures => {
   const events = createEventQueue()
-  const store = createStoreClock(deployment.storeLoadsPerSecond, SimulationFacts.storeConcurrency)
+  const store = createStoreClock(deployment.storeLoadsPerSecond, SimulationConstants.storeConcurrency)
   const waitsMs: number[] = []
   let idleMs = 0
   let loadCount = 0
@@ -52,7 +52,7 @@
   }
 
   const idleView = (state: ItemState): IdleView => ({
-    // Since the last use, also when it was loaded ahead of the next one.
+    // Measured from the last use, even if the model was loaded ahead of the next one.
     idleMs: Math.max(0, events.nowMs() - state.busyUntilMs),
     pastGapsMs: state.gapsMs,
     reloadMs: state.item.loadMs,
@@ -86,12 +86,12 @@
     }
   }
 
-  const makeRoom = (item: Item): boolean => {
+  const freeMemory = (item: Item): boolean => {
     const residents = residentsOf(item.runner)
     const usedMb = residents.reduce((sum, one) => sum + one.item.memoryMb, 0)
-    const lackMb = usedMb + item.memoryMb - deployment.runnerMemoryMb
-    if (lackMb <= 0) return true
-    const victims = policies.chooseVictims(residents.map(residentView), lackMb)
+    const shortfallMb = usedMb + item.memoryMb - deployment.runnerMemoryMb
+    if (shortfallMb <= 0) return true
+    const victims = policies.chooseVictims(residents.map(residentView), shortfallMb)
     for (const victim of victims ?? []) {
       const state = residents.find(one => one.item.model === victim.model && one.item.adapter === victim.adapter)
       if (state?.isLoaded) unload(state)
@@ -99,9 +99,9 @@
     return victims !== undefined
   }
 
-  /** Starts loading; false when nothing can be evicted now. */
+  /** Starts loading; false when no memory can be freed now. */
   const load = (state: ItemState): boolean => {
-    if (!makeRoom(state.item)) return false
+    if (!freeMemory(state.item)) return false
     state.isLoaded = true
     state.version += 1
     state.readyAtMs = store.reserve(events.nowMs(), state.item.loadMs)
@@ -114,65 +114,65 @@
 
   const preload = (state: ItemState, version: number): void => {
     if (state.isLoaded || state.version !== version || !modelOf(state).isLoaded) return
-    if (load(state)) decideLater(state)
+    if (load(state)) scheduleDecision(state)
   }
 
-  const leave = (state: ItemState): void => {
+  const unloadIdle = (state: ItemState): void => {
     const delayMs = policies.planPreload(idleView(state))
     unload(state)
     const { version } = state
     if (delayMs === undefined) return
     events.at(events.nowMs() + delayMs, () => {
       if (state.item.adapter !== '') return preload(state, version)
-      if (!state.isLoaded && state.version === version && load(state)) decideLater(state)
+      if (!state.isLoaded && state.version === version && load(state)) scheduleDecision(state)
     })
   }
 
-  const decide = (state: ItemState, version: number): void => {
+  const decideKeep = (state: ItemState, version: number): void => {
     if (!state.isLoaded || state.version !== version) return
     if (events.nowMs() < state.busyUntilMs) return
     const nextAtMs = state.uses[state.nextUse] ?? Infinity
-    const stayMs = policies.keep(idleView(state), nextAtMs - events.nowMs())
-    const isHeld = state.item.adapter === '' && adapters.some(one => one.item.model === state.item.model && one.busyUntilMs > events.nowMs())
-    if (stayMs <= 0 && !isHeld) return leave(state)
-    events.at(events.nowMs() + Math.max(stayMs, ROOM_RETRY_MS), () => decide(state, version))
+    const keepMs = policies.keep(idleView(state), nextAtMs - events.nowMs())
+    const hasBusyAdapter = state.item.adapter === '' && adapters.some(one => one.item.model === state.item.model && one.busyUntilMs > events.nowMs())
+    if (keepMs <= 0 && !hasBusyAdapter) return unloadIdle(state)
+    events.at(events.nowMs() + Math.max(keepMs, MEMORY_RETRY_MS), () => decideKeep(state, version))
   }
 
-  const decideLater = (state: ItemState): void => {
+  const scheduleDecision = (state: ItemState): void => {
     const { version } = state
-    events.at(Math.max(state.readyAtMs, state.busyUntilMs), () => decide(state, version))
+    events.at(Math.max(state.readyAtMs, state.busyUntilMs), () => decideKeep(state, version))
   }
 
   const recordGap = (state: ItemState, nowMs: number): void => {
-    // Gaps run from the end of a use; overlapping uses are one burst.
+    // Gaps start at the end of a use; overlapping uses form one burst.
     if (state.nextUse > 0 && nowMs > state.busyUntilMs) {
-      state.gapsMs = [...state.gapsMs, nowMs - state.busyUntilMs].slice(-REMEMBERED_GAPS)
+      state.gapsMs = [...state.gapsMs, nowMs - state.busyUntilMs].slice(-MAX_GAPS)
     }
     state.nextUse += 1
   }
 
-  const beBusy = (state: ItemState, fromMs: number, busyMs: number): void => {
+  const markBusy = (state: ItemState, fromMs: number, busyMs: number): void => {
     if (state.isLoaded && state.busyUntilMs < events.nowMs() && state.idleFromMs < events.nowMs()) countIdle(state)
     state.busyUntilMs = Math.max(state.busyUntilMs, fromMs + busyMs)
     state.idleFromMs = state.busyUntilMs
     state.version += 1
-    decideLater(state)
+    scheduleDecision(state)
   }
 
-  const finishUse = (states: readonly ItemState[], use: Use): void => {
+  const serveUse = (states: readonly ItemState[], use: Use): void => {
     const nowMs = events.nowMs()
     for (const state of states) {
       if (state.isLoaded || load(state)) {
-        // Held while it loads, so that nothing of a waiting use is evicted.
+        // Busy while it loads, so that nothing that a waiting use needs is evicted.
         state.busyUntilMs = Math.max(state.busyUntilMs, state.readyAtMs)
         continue
       }
-      events.at(nowMs + ROOM_RETRY_MS, () => finishUse(states, use))
+      events.at(nowMs + MEMORY_RETRY_MS, () => serveUse(states, use))
       return
     }
     const readyAtMs = Math.max(nowMs, ...states.map(state => state.readyAtMs))
     if (use.atMs >= deployment.measuredFromMs) waitsMs.push(readyAtMs - use.atMs)
-    for (const state of states) beBusy(state, readyAtMs, use.busyMs)
+    for (const state of states) markBusy(state, readyAtMs, use.busyMs)
   }
 
   for (const use of deployment.uses) {
@@ -180,7 +180,7 @@
       const adapter = use.adapterIndex === undefined ? undefined : adapters[use.adapterIndex]
       const states = [models[use.modelIndex]!, ...adapter ? [adapter] : []]
       for (const state of states) recordGap(state, use.atMs)
-      finishUse(states, use)
+      serveUse(states, use)
     })
   }
   events.runUntil(deployment.durationMs)
--- a/packages/decisions/src/simulation/keepalive/storeClock.ts
+++ b/packages/decisions/src/simulation/keepalive/storeClock.ts
@@ -1,9 +1,9 @@
-/** When a load ends that is asked for now, at a store with so many loads at once and so many starts a second. */
+/** Computes when loads end at a store that limits concurrent loads and load starts per second. */
 export interface StoreClock {
   readonly reserve: (nowMs: number, loadMs: number) => number
 }
 
-/** Makes the store of one run; loads are served in the order in which they ask. */
+/** Creates the store of one run; it serves loads in the order of the calls. */
 export const createStoreClock = (loadsPerSecond: number, concurrency: number): StoreClock => {
   const freeAtMs = Array.from({ length: concurrency }, () => 0)
   let nextStartMs = 0
--- a/packages/decisions/src/simulation/keepalive/types.ts
+++ b/packages/decisions/src/simulation/keepalive/types.ts
@@ -3,7 +3,7 @@
 import type { PlanPreload } from '../../keepalive/planPreload.js'
 import type { IdleView } from '../../keepalive/types.js'
 
-/** A model or an adapter, fixed to the runner that holds its right. */
+/** A model or an adapter on the runner that it is assigned to. */
 export interface Item {
   readonly model: ModelId
   /** Empty for the model itself. */
@@ -13,16 +13,16 @@
   readonly loadMs: number
 }
 
-/** One use of a model, and perhaps of an adapter, by a caller. */
+/** One use of a model, possibly with an adapter, by a caller. */
 export interface Use {
   readonly atMs: number
   readonly modelIndex: number
-  /** Index into the adapters of the deployment; undefined for the bare model. */
+  /** Index into the deployment's adapters; undefined without an adapter. */
   readonly adapterIndex?: number
   readonly busyMs: number
 }
 
-/** A site with the history of its uses. */
+/** A site with the uses of its models over time. */
 export interface Deployment {
   readonly name: string
   readonly runnerCount: number
@@ -32,11 +32,11 @@
   readonly adapters: readonly Item[]
   readonly uses: readonly Use[]
   readonly durationMs: number
-  /** Uses before it only build up the histories. */
+  /** Earlier uses only build up the gap histories. */
   readonly measuredFromMs: number
 }
 
-/** A keep-alive function that may look at the true time until the next use, for the bound with hindsight. */
+/** A keep-alive function that also gets the actual time until the next use, for the optimum with hindsight. */
 export type KeepWithHindsight = (view: IdleView, nextUseInMs: number) => number
 
 export interface KeepPolicies {
@@ -46,16 +46,16 @@
   readonly idleCostWeight: number
 }
 
-/** What callers and the operator see of one run. */
+/** Results of one run for callers and the operator. */
 export interface KeepMeasures {
   readonly useCount: number
   readonly coldCount: number
-  /** Waiting time for loads over all uses. */
+  /** Percentiles of the time that uses waited for loads. */
   readonly p95WaitMs: number
   readonly p99WaitMs: number
   readonly p999WaitMs: number
   readonly meanWaitMs: number
-  /** Memory held by idle models in accelerators, in hours a day. */
+  /** Accelerator memory occupied by idle models, in hours of a full runner per day. */
   readonly idleHoursPerDay: number
   readonly loadCount: number
 }
--- a/packages/decisions/src/simulation/measure.ts
+++ b/packages/decisions/src/simulation/measure.ts
@@ -1,56 +1,56 @@
 import type { CallerName } from '@figmount/base'
 import type { Outcome, Scenario, SimulatedRequest } from './types.js'
 
-/** What callers received in one run. Times are virtual and exact. */
+/** Results of one run from the callers' point of view. Times are virtual and exact. */
 export interface Measures {
   readonly requestCount: number
   readonly servedCount: number
-  /** Requests still unanswered or still coming back at the end. */
+  /** Requests that had no answer by the end of the run. */
   readonly unservedCount: number
-  /** Attempts that were served before their deadline, a second. */
+  /** Attempts per second that were served before their deadline. */
   readonly goodputPerSecond: number
-  /** Time from the first send to the first token, over all resends; unserved requests count with their age at the end. */
+  /** Time from the first send to the first token, including resends. For requests without a first token, their age at the end. */
   readonly p50FirstTokenMs: number
   readonly p99FirstTokenMs: number
   readonly p999FirstTokenMs: number
   readonly refusalCount: number
-  /** Share of the checked refusals for which the refusing server had no place left empty until it was too late. */
+  /** Share of the checked refusals after which the server left no slot empty while the request could still have ended in time. */
   readonly trueRefusalShare: number
-  /** Time that callers lost with attempts that were refused, over all requests. */
+  /** Time that callers lost through refused attempts, averaged over all requests. */
   readonly meanLostMs: number
-  /** Share of refusals that were told within a second of the sending. */
+  /** Share of refusals that were sent within a second of the attempt. */
   readonly earlyRefusalShare: number
-  /** Attempts that were admitted and not answered by their deadline. */
+  /** Attempts that were admitted but not answered by their deadline. */
   readonly missedCount: number
   readonly attemptCount: number
-  /** Jain's index over callers of served over demanded tokens; 1 when all got the same part. */
+  /** Jain's index over the callers' ratios of served to demanded tokens; 1 when all ratios are equal. */
   readonly fairness: number
   readonly coldStartCount: number
-  /** Last arrival that waited over `SLOW_MS` for its first token; 0 when none did. */
+  /** Latest arrival of a request that waited longer than `SLOW_MS` for its first token; 0 when none did. */
   readonly lastSlowArrivalMs: number
-  /** Served count in each `bucketMs` of the run. */
+  /** Requests served in each interval of `BUCKET_MS`. */
   readonly servedPerBucket: readonly number[]
 }
 
-/** One request's life. */
+/** A request and when it was served. */
 export interface RequestRecord {
   readonly request: SimulatedRequest
   readonly firstTokenAtMs?: number
   readonly servedAtMs?: number
 }
 
-/** Collects outcomes during a run. */
+/** Collects the outcomes of a run. */
 export interface Recorder {
   readonly attempt: (request: SimulatedRequest) => void
   readonly outcome: (request: SimulatedRequest, outcome: Outcome, sentAtMs: number, atMs: number) => void
-  readonly judgeRefusal: (request: SimulatedRequest, isTrue: boolean) => void
+  readonly recordRefusalCheck: (request: SimulatedRequest, isTrue: boolean) => void
   readonly coldStart: () => void
   readonly measure: (isObserved?: (request: SimulatedRequest) => boolean) => Measures
 }
 
 export const BUCKET_MS = 10_000
 
-/** Several times what a request waits at seven tenths of capacity. */
+/** Several times the wait of a request at seven tenths of capacity. */
 const SLOW_MS = 5_000
 
 const EARLY_MS = 1_000
@@ -78,12 +78,12 @@
   return jainIndex([...demanded].map(([caller, tokens]) => (served.get(caller) ?? 0) / tokens))
 }
 
-/** Makes the recorder of one run. */
+/** Creates the recorder of one run. */
 export const createRecorder = (scenario: Scenario): Recorder => {
   const records = new Map<string, RequestRecord>()
   const attempts = new Map<string, number>()
   const refusals: { readonly request: SimulatedRequest, readonly afterMs: number }[] = []
-  const judged: { readonly request: SimulatedRequest, readonly isTrue: boolean }[] = []
+  const refusalChecks: { readonly request: SimulatedRequest, readonly isTrue: boolean }[] = []
   const misses: SimulatedRequest[] = []
   let coldStartCount = 0
 
@@ -97,7 +97,7 @@
       if (outcome.kind === 'refused') refusals.push({ request, afterMs: atMs - sentAtMs })
       if (outcome.kind === 'missed') misses.push(request)
     },
-    judgeRefusal: (request, isTrue) => { judged.push({ request, isTrue }) },
+    recordRefusalCheck: (request, isTrue) => { refusalChecks.push({ request, isTrue }) },
     coldStart: () => { coldStartCount += 1 },
     measure: (isObserved = () => true) => {
       const observed = [...records.values()].filter(record => isObserved(record.request))
@@ -106,7 +106,7 @@
         .map(record => (record.firstTokenAtMs ?? scenario.durationMs) - record.request.atMs)
         .sort((a, b) => a - b)
       const refusedAfterMs = refusals.filter(refusal => isObserved(refusal.request)).map(refusal => refusal.afterMs)
-      const checked = judged.filter(refusal => isObserved(refusal.request))
+      const checked = refusalChecks.filter(refusal => isObserved(refusal.request))
       const servedPerBucket = Array.from({ length: Math.ceil(scenario.durationMs / BUCKET_MS) }, () => 0)
       for (const record of served) servedPerBucket[Math.floor(record.servedAtMs! / BUCKET_MS)]! += 1
       return {
--- a/packages/decisions/src/simulation/patterns.ts
+++ b/packages/decisions/src/simulation/patterns.ts
@@ -3,8 +3,8 @@
 import type { CallerName, ModelId } from '@figmount/base'
 import type { Scenario, SimulatedModel, SimulatedRequest } from './types.js'
 
-/** A stream of independent arrivals of one kind. */
-interface Stream {
+/** Independent arrivals of one kind of request. */
+interface ArrivalProcess {
   readonly name: string
   readonly caller?: string
   readonly tenant?: string
@@ -16,17 +16,17 @@
   readonly priority?: number
   readonly model?: string
   readonly prefix?: string
-  /** Callers that the stream is spread over when no single one is named. */
+  /** Number of callers that the requests are spread over when `caller` is omitted. */
   readonly callerCount?: number
 }
 
 const DEFAULT_CALLERS = 8
 const WARM_MODEL = 'readers/stelae'
 
-/** Lengths vary by a factor of three around the mean, and the expectation is the mean alone. */
+/** Actual lengths vary by a factor of three around the mean; the expected length is always the mean. */
 const drawTokens = (mean: number, random: () => number): number => Math.max(4, Math.round(mean * (0.5 + random())))
 
-const arrivals = (stream: Stream, seed: number): readonly SimulatedRequest[] => {
+const drawArrivals = (stream: ArrivalProcess, seed: number): readonly SimulatedRequest[] => {
   const random = makeRandom(seed)
   const requests: SimulatedRequest[] = []
   for (let atMs = stream.fromMs; ;) {
@@ -49,8 +49,8 @@
   }
 }
 
-const merge = (...streams: readonly Stream[]): readonly SimulatedRequest[] =>
-  streams.flatMap((stream, index) => arrivals(stream, index + 11)).sort((a, b) => a.atMs - b.atMs)
+const merge = (...streams: readonly ArrivalProcess[]): readonly SimulatedRequest[] =>
+  streams.flatMap((stream, index) => drawArrivals(stream, index + 11)).sort((a, b) => a.atMs - b.atMs)
 
 const warmModel = (serverCount: number): SimulatedModel => ({
   model: WARM_MODEL as ModelId,
@@ -61,18 +61,18 @@
 })
 
 /**
- * Four servers of eight places each. A request of 100 tokens takes 3.3 s of a place, so that the fleet serves 9.7 of
- * them a second; the rates below are parts and multiples of that.
+ * Four servers with eight slots each. A request of 100 tokens occupies a slot for 3.3 s, so the fleet serves 9.7 of
+ * them per second; the rates below are fractions and multiples of that.
  */
 const SERVERS = 4
 const CAPACITY_PER_SECOND = 9.7
 const MINUTE_MS = 60_000
-/** After the last arrival, so that all that can be served is. */
-const TAIL_MS = MINUTE_MS
+/** Time after the last arrival in which all remaining requests can be served. */
+const DRAIN_MS = MINUTE_MS
 
 const base = (name: string, durationMs: number): Omit<Scenario, 'requests'> => ({
   name,
-  durationMs: durationMs + TAIL_MS,
+  durationMs: durationMs + DRAIN_MS,
   serverCount: SERVERS,
   routerCount: 4,
   batchSlots: 8,
@@ -81,10 +81,10 @@
   disturbances: []
 })
 
-const steady = (share: number, toMs: number): Stream =>
+const steady = (share: number, toMs: number): ArrivalProcess =>
   ({ name: 'steady', fromMs: 0, toMs, perSecond: CAPACITY_PER_SECOND * share, meanTokens: 100, patienceMs: 30_000 })
 
-/** Seven tenths of capacity, and 300 requests more within two seconds. */
+/** A load of seven tenths of capacity, with 300 additional requests within two seconds. */
 export const burst = (): Scenario => ({
   ...base('burst', 3 * MINUTE_MS),
   requests: merge(
@@ -93,7 +93,7 @@
   )
 })
 
-/** One caller of a rival firm sends twice the capacity; the others want a third of it. */
+/** One caller of another tenant sends twice the capacity; the others need a third of it. */
 export const hotCaller = (): Scenario => ({
   ...base('hot caller', 3 * MINUTE_MS),
   requests: merge(
@@ -112,14 +112,14 @@
   )
 })
 
-/** One server of four is ten times slower for a minute and a half; the rest could carry the load. */
+/** One server of four is ten times slower for a minute and a half; the others could carry the load. */
 export const slowServer = (): Scenario => ({
   ...base('slow server', 4 * MINUTE_MS),
   requests: merge(steady(0.6, 4 * MINUTE_MS)),
   disturbances: [{ fromMs: 30_000, toMs: 120_000, server: 3, slowness: 10 }]
 })
 
-/** Sixteen routers before twelve servers at nine tenths of capacity: each knows little of what the others send. */
+/** Sixteen routers in front of twelve servers at nine tenths of capacity; each sees only a fraction of the sends. */
 export const manyRouters = (): Scenario => ({
   ...base('many routers', 2 * MINUTE_MS),
   serverCount: 12,
@@ -128,7 +128,7 @@
   requests: merge({ ...steady(2.7, 2 * MINUTE_MS), meanTokens: 100 })
 })
 
-/** Few long reports among many short questions, at nine tenths of capacity. */
+/** A few long requests among many short ones, at nine tenths of capacity. */
 export const longAmongShort = (): Scenario => ({
   ...base('long among short', 4 * MINUTE_MS),
   requests: merge(
@@ -138,7 +138,7 @@
   isObserved: request => request.id.startsWith('short')
 })
 
-/** The given multiple of capacity for a minute, in three priorities; then quiet. */
+/** A multiple of the capacity for a minute in three priorities, followed by no load. */
 export const overload = (factor: number): Scenario => ({
   ...base(`overload ${factor}x`, MINUTE_MS),
   requests: merge(
@@ -150,8 +150,8 @@
 })
 
 /**
- * All servers are down for a minute under seven tenths of capacity; callers retry throughout. Their patience is little
- * over twice the service time, so that work cut off at its deadline is worth most of what is served.
+ * All servers are down for a minute at seven tenths of capacity, while callers retry. Their patience is little more than twice
+ * the service time, so work that is aborted at its deadline costs almost as much as work that is served.
  */
 export const outage = (): Scenario => ({
   ...base('outage', 6 * MINUTE_MS),
@@ -159,7 +159,7 @@
   disturbances: [{ fromMs: 60_000, toMs: 120_000, slowness: Infinity }]
 })
 
-/** A slow monthly review and an urgent one want the same model at one and a half times capacity. */
+/** Low-priority and urgent requests for the same model, at one and a half times capacity. */
 export const urgentReview = (): Scenario => ({
   ...base('urgent and slow', 4 * MINUTE_MS),
   requests: merge(
@@ -172,7 +172,7 @@
 const coldModel = (name: string, servers: readonly number[]): SimulatedModel =>
   ({ model: name as ModelId, memoryMb: 30_000, loadMs: 15_000, servers, isWarm: false })
 
-/** A cold model with four replica rights gets 24 requests in a second at all routers. */
+/** A cold model with four slots gets 24 requests within a second through all routers. */
 export const coldBurst = (): Scenario => ({
   ...base('cold burst', 2 * MINUTE_MS),
   models: [warmModel(SERVERS), coldModel('readers/rock-churches', [0, 1, 2, 3])],
@@ -183,7 +183,7 @@
   isObserved: request => request.id.startsWith('cold')
 })
 
-/** Twenty cold models wake at once; one of them is wanted by forty callers, the others by one each. */
+/** Twenty cold models are requested at once, one of them by forty callers and the others by one each. */
 export const wakeUp = (): Scenario => {
   const names = Array.from({ length: 20 }, (_, index) => `readers/model-${index}`)
   const popular = names[13]!
@@ -191,13 +191,13 @@
     ...base('wake-up', 3 * MINUTE_MS),
     models: names.map((name, index) => coldModel(name, [index % SERVERS])),
     requests: merge(
-      ...names.map((name): Stream => ({ name, model: name, fromMs: 10_000, toMs: 12_000, perSecond: 1, meanTokens: 60, patienceMs: 170_000 })),
+      ...names.map((name): ArrivalProcess => ({ name, model: name, fromMs: 10_000, toMs: 12_000, perSecond: 1, meanTokens: 60, patienceMs: 170_000 })),
       { name: 'popular', model: popular, fromMs: 12_000, toMs: 14_000, perSecond: 20, meanTokens: 60, patienceMs: 170_000 }
     )
   }
 }
 
-/** All patterns of the table. */
+/** All load patterns of the decision table. */
 export const allPatterns = (): readonly Scenario[] => [
   burst(), hotCaller(), hotPrefix(), slowServer(), manyRouters(), longAmongShort(), urgentReview(),
   overload(1.5), overload(3), overload(10), outage(), coldBurst(), wakeUp()
--- a/packages/decisions/src/simulation/policies.ts
+++ b/packages/decisions/src/simulation/policies.ts
@@ -18,7 +18,7 @@
 
 import type { Policies } from './types.js'
 
-/** The simple baselines together. */
+/** All baselines together. */
 export const baselinePolicies: Policies = {
   chooseBackend: chooseFirstReady,
   pickNext: pickFirstCome,
@@ -35,7 +35,7 @@
   hasRetryBudget: false
 }
 
-/** What figmount uses. */
+/** The decision functions that figmount uses. */
 export const figmountPolicies: Policies = {
   chooseBackend: chooseLeastCost,
   pickNext: pickFairShare,
--- a/packages/decisions/src/simulation/rateMeter.ts
+++ b/packages/decisions/src/simulation/rateMeter.ts
@@ -1,16 +1,16 @@
-import { SimulationFacts } from './constants.js'
+import { SimulationConstants } from './constants.js'
 
-/** Counts what happened in the last `rateWindowMs`, and what is promised for later. */
+/** Counts events within the last `rateWindowMs`. */
 export interface RateMeter {
   readonly record: (atMs: number) => void
   readonly perSecond: (nowMs: number) => number
 }
 
-/** Makes a meter over whole-second buckets. */
+/** Creates a meter with buckets of one second. */
 export const createRateMeter = (): RateMeter => {
   const buckets = new Map<number, number>()
   const bucketOf = (atMs: number): number => Math.floor(atMs / 1_000)
-  const bucketCount = SimulationFacts.rateWindowMs / 1_000
+  const bucketCount = SimulationConstants.rateWindowMs / 1_000
   return {
     record: atMs => {
       buckets.set(bucketOf(atMs), (buckets.get(bucketOf(atMs)) ?? 0) + 1)
@@ -24,21 +24,21 @@
   }
 }
 
-/** Refused requests whose time to come back has not come yet. */
-export interface PromiseMeter {
-  readonly promise: (atMs: number) => void
-  readonly outstanding: (nowMs: number) => number
+/** Counts refused requests whose retry time is still ahead. */
+export interface PendingRetryMeter {
+  readonly add: (atMs: number) => void
+  readonly count: (nowMs: number) => number
 }
 
-/** Makes a meter over whole-second buckets. */
-export const createPromiseMeter = (): PromiseMeter => {
+/** Creates a meter with buckets of one second. */
+export const createPendingRetryMeter = (): PendingRetryMeter => {
   const buckets = new Map<number, number>()
   return {
-    promise: atMs => {
+    add: atMs => {
       const bucket = Math.ceil(atMs / 1_000)
       buckets.set(bucket, (buckets.get(bucket) ?? 0) + 1)
     },
-    outstanding: nowMs => {
+    count: nowMs => {
       let sum = 0
       for (const [bucket, count] of buckets) {
         if (bucket * 1_000 < nowMs) buckets.delete(bucket)
--- a/packages/decisions/src/simulation/residents.ts
+++ b/packages/decisions/src/simulation/residents.ts
@@ -15,7 +15,7 @@
   readonly usedCount: number
 }
 
-/** What the server tells about requests that want a model. */
+/** Demand at the server for the models in its memory. */
 export interface Demand {
   readonly running: (model: ModelId) => number
   readonly load: (spec: SimulatedModel, askedAtMs: number) => WaitingLoad
@@ -27,11 +27,11 @@
   readonly stateOf: (model: ModelId) => 'cold' | 'loading' | 'ready'
   readonly readyInMs: (spec: SimulatedModel) => number
   readonly use: (model: ModelId) => void
-  /** Starts loading unless it is resident; false when no memory can be freed now. */
-  readonly ensure: (spec: SimulatedModel) => boolean
+  /** Starts loading the model unless it is already resident; false when no memory can be freed now. */
+  readonly ensureLoading: (spec: SimulatedModel) => boolean
 }
 
-/** Makes the memory of one server; `onReady` is called whenever a model has become ready. */
+/** Creates the memory of one server; `onReady` is called whenever a model becomes ready. */
 export const createResidents = (memoryMb: number, events: EventQueue, store: WeightStore, chooseVictims: ChooseVictims, demand: Demand, countColdStart: () => void, onReady: () => void): Residents => {
   const residents = new Map<ModelId, Resident>()
   const usedMb = (): number => [...residents.values()].reduce((sum, one) => sum + one.spec.memoryMb, 0)
@@ -53,15 +53,15 @@
     }
   }
 
-  const makeRoom = (neededMb: number): boolean => {
-    const lackMb = usedMb() + neededMb - memoryMb
-    if (lackMb <= 0) return true
-    const victims = chooseVictims([...residents.values()].map(viewOf), lackMb)
+  const freeMemory = (neededMb: number): boolean => {
+    const shortfallMb = usedMb() + neededMb - memoryMb
+    if (shortfallMb <= 0) return true
+    const victims = chooseVictims([...residents.values()].map(viewOf), shortfallMb)
     for (const victim of victims ?? []) residents.delete(victim.model)
     return victims !== undefined
   }
 
-  const becomeReady = (spec: SimulatedModel): void => {
+  const markReady = (spec: SimulatedModel): void => {
     const resident = residents.get(spec.model)
     if (!resident) return
     residents.set(spec.model, { ...resident, state: 'ready', readyAtMs: events.nowMs() })
@@ -77,7 +77,7 @@
       model: spec.model,
       loadMs: spec.loadMs,
       view: () => demand.load(spec, askedAtMs),
-      onLoaded: () => becomeReady(spec)
+      onLoaded: () => markReady(spec)
     })
   }
 
@@ -93,9 +93,9 @@
       const resident = residents.get(model)
       if (resident) residents.set(model, { ...resident, lastUsedAtMs: events.nowMs(), usedCount: resident.usedCount + 1 })
     },
-    ensure: spec => {
+    ensureLoading: spec => {
       if (residents.has(spec.model)) return true
-      if (!makeRoom(spec.memoryMb)) return false
+      if (!freeMemory(spec.memoryMb)) return false
       if (spec.isWarm && events.nowMs() === 0) {
         residents.set(spec.model, { spec, state: 'ready', readyAtMs: 0, lastUsedAtMs: 0, usedCount: 0 })
         return true
--- a/packages/decisions/src/simulation/router.ts
+++ b/packages/decisions/src/simulation/router.ts
@@ -1,8 +1,8 @@
 import { creditSend, fullBudget, spendBoth } from '../retries/budget.js'
 import { viewGroup } from '../routing/estimateCost.js'
 
-import { SimulationFacts } from './constants.js'
-import { createPromiseMeter, createRateMeter } from './rateMeter.js'
+import { SimulationConstants } from './constants.js'
+import { createPendingRetryMeter, createRateMeter } from './rateMeter.js'
 
 import type { CallerName, InstanceName, LogOffset } from '@figmount/base'
 import type { RetryBudget } from '../retries/budget.js'
@@ -11,10 +11,10 @@
 import type { ServerReport, SimulatedServer } from './server.js'
 import type { Attempt, Outcome, Policies, Scenario } from './types.js'
 
-/** A simulated router: what it believes of the servers, and its own sends since. */
+/** A simulated router with the last report of each server and its own sends since. */
 export interface SimulatedRouter {
   readonly send: (attempt: Attempt, reply: (outcome: Outcome) => void) => void
-  readonly hear: (server: number, report: ServerReport) => void
+  readonly receiveReport: (server: number, report: ServerReport) => void
 }
 
 interface OwnSend {
@@ -25,7 +25,7 @@
 interface OwnSends {
   readonly add: (send: OwnSend) => void
   readonly remove: (send: OwnSend) => void
-  readonly keepAfter: (atMs: number) => void
+  readonly dropUntil: (atMs: number) => void
   readonly seconds: () => number
 }
 
@@ -35,7 +35,7 @@
   return {
     add: send => { sends.add(send); sum += send.seconds },
     remove: send => { if (sends.delete(send)) sum -= send.seconds },
-    keepAfter: atMs => {
+    dropUntil: atMs => {
       sends = new Set([...sends].filter(send => send.atMs > atMs))
       sum = [...sends].reduce((total, send) => total + send.seconds, 0)
     },
@@ -51,13 +51,13 @@
   readonly random: () => number
 }
 
-/** Makes a router. */
+/** Creates a router. */
 export const createRouter = ({ events, policies, scenario, servers, random }: RouterEnvironment): SimulatedRouter => {
   const reports = new Map<number, ServerReport>()
   const ownSends = servers.map(() => createOwnSends())
   const budgets = new Map<CallerName, RetryBudget>()
   const served = createRateMeter()
-  const promises = createPromiseMeter()
+  const pendingRetries = createPendingRetryMeter()
   const models = new Map(scenario.models.map(spec => [spec.model, spec]))
   let serviceBudget = fullBudget(0)
 
@@ -87,8 +87,8 @@
   }
 
   const mayRetry = (caller: CallerName, triedCount: number): boolean => {
-    if (triedCount >= SimulationFacts.routerTries) return false
-    if (!policies.hasRetryBudget || triedCount <= SimulationFacts.freeTries) return true
+    if (triedCount >= SimulationConstants.routerTries) return false
+    if (!policies.hasRetryBudget || triedCount <= SimulationConstants.freeTries) return true
     const left = spendBoth(budgets.get(caller) ?? fullBudget(0), serviceBudget, events.nowMs())
     if (!left) return false
     budgets.set(caller, left.caller)
@@ -96,10 +96,10 @@
     return true
   }
 
-  const refuse = (attempt: Attempt, lackMs: number, reply: (outcome: Outcome) => void): void => {
+  const refuse = (attempt: Attempt, shortfallMs: number, reply: (outcome: Outcome) => void): void => {
     const retryAfterMs = policies.chooseRetryAfter({
-      estimatedWaitMs: Math.max(0, lackMs),
-      recentRefusals: promises.outstanding(events.nowMs()),
+      estimatedWaitMs: Math.max(0, shortfallMs),
+      recentRefusals: pendingRetries.count(events.nowMs()),
       servedPerSecond: served.perSecond(events.nowMs()),
       resendCount: attempt.resendCount
     }, random)
@@ -107,44 +107,44 @@
   }
 
   const answerRefusal = (retryAfterMs: number, reply: (outcome: Outcome) => void): void => {
-    promises.promise(events.nowMs() + retryAfterMs)
+    pendingRetries.add(events.nowMs() + retryAfterMs)
     reply({ kind: 'refused', retryAfterMs })
   }
 
   const sendTo = (server: number, attempt: Attempt, reply: (outcome: Outcome) => void, tried: readonly number[]): void => {
-    const seconds = attempt.request.expectedTokens * SimulationFacts.tokenIntervalMs / scenario.batchSlots / 1_000
-    const own = { atMs: events.nowMs(), seconds }
-    ownSends[server]!.add(own)
-    events.at(events.nowMs() + SimulationFacts.hopMs, () => {
+    const seconds = attempt.request.expectedTokens * SimulationConstants.tokenIntervalMs / scenario.batchSlots / 1_000
+    const ownSend = { atMs: events.nowMs(), seconds }
+    ownSends[server]!.add(ownSend)
+    events.at(events.nowMs() + SimulationConstants.hopMs, () => {
       const verdict = servers[server]!.offer(attempt, outcome => {
         if (outcome.kind === 'served') served.record(events.nowMs())
         reply(outcome)
       })
       if (verdict.kind === 'admit') return watch(server, attempt, reply)
-      ownSends[server]!.remove(own)
+      ownSends[server]!.remove(ownSend)
       if (mayRetry(attempt.request.caller, tried.length)) return route(attempt, reply, tried)
       servers[server]!.checkRefusal(attempt)
       answerRefusal(verdict.retryAfterMs, reply)
     })
   }
 
-  /** Looks at a stream from time to time, and resumes it elsewhere when that is worth it. */
+  /** Checks a stream periodically, and resumes it on another server when the policy decides so. */
   const watch = (server: number, attempt: Attempt, reply: (outcome: Outcome) => void): void => {
-    events.at(events.nowMs() + SimulationFacts.watchPeriodMs, () => {
+    events.at(events.nowMs() + SimulationConstants.watchPeriodMs, () => {
       const progress = servers[server]!.progressOf(attempt)
       if (!progress) return
       const others = othersOf(server, attempt)
-      const isWorthIt = progress.isRunning && policies.chooseMove({
+      const shouldMove = progress.isRunning && policies.chooseMove({
         isRepeatable: true,
         doneTokens: progress.doneTokens,
         expectedTokens: attempt.request.expectedTokens,
         tokenIntervalMs: progress.intervalMs,
         otherIntervalMs: viewGroup(others).medianTokenIntervalMs,
-        otherWaitMs: SimulationFacts.prefillMs + Math.min(...others.map(one => (one.queuedSeconds + one.unreportedSeconds) * 1_000)),
+        otherWaitMs: SimulationConstants.prefillMs + Math.min(...others.map(one => (one.queuedSeconds + one.unreportedSeconds) * 1_000)),
         remainingMs: attempt.deadlineAtMs - events.nowMs()
       })
-      if (!isWorthIt || !mayRetry(attempt.request.caller, SimulationFacts.freeTries + 1)) return watch(server, attempt, reply)
-      servers[server]!.withdraw(attempt)
+      if (!shouldMove || !mayRetry(attempt.request.caller, SimulationConstants.freeTries + 1)) return watch(server, attempt, reply)
+      servers[server]!.cancel(attempt)
       const moved: Attempt = { ...attempt, doneTokens: progress.doneTokens }
       route(progress.doneTokens > 0 ? { ...moved, firstTokenAtMs: progress.firstTokenAtMs } : moved, reply, [server])
     })
@@ -167,7 +167,7 @@
       expectedTokens: attempt.request.expectedTokens,
       priority: attempt.request.priority,
       coldStartMs: spec.loadMs,
-      prefixSavingMs: SimulationFacts.prefillMs - SimulationFacts.cachedPrefillMs,
+      prefixSavingMs: SimulationConstants.prefillMs - SimulationConstants.cachedPrefillMs,
       adapterLoadMs: 0
     }, candidates, random)
     if (choice.kind === 'none') return refuse(attempt, choice.estimatedWaitMs - remainingMs, reply)
@@ -184,9 +184,9 @@
       }
       route(attempt, reply, [])
     },
-    hear: (server, report) => {
+    receiveReport: (server, report) => {
       reports.set(server, report)
-      ownSends[server]!.keepAfter(report.takenAtMs - SimulationFacts.hopMs)
+      ownSends[server]!.dropUntil(report.takenAtMs - SimulationConstants.hopMs)
     }
   }
 }
--- a/packages/decisions/src/simulation/simulateStoreRush.test.ts
+++ b/packages/decisions/src/simulation/simulateStoreRush.test.ts
@@ -3,10 +3,10 @@
 import { backOffByNeed, backOffEqually } from '../loading/pace.js'
 import { shiftStart, simulateStoreRush } from './simulateStoreRush.js'
 
-describe('rush to the weight store', () => {
-  it('loads first what most callers wait for, without a central queue', () => {
-    // A shift begins and forty models wake up. Forty callers of one model wait for as long as the single caller of
-    // another: all agents ask again at once, all loads run beside each other, and all end late.
+describe('burst of loads at the weight store', () => {
+  it('favours the loads that most callers wait for, without a central queue', () => {
+    // Forty models are requested at the start of a shift. With equal backoff, all agents retry at the same time and all loads run
+    // concurrently and end late, so forty callers of one model wait as long as the single caller of another.
     const equal = simulateStoreRush(shiftStart(), { backOff: backOffEqually })
     const byNeed = simulateStoreRush(shiftStart(), { backOff: backOffByNeed })
     const central = simulateStoreRush(shiftStart(), { backOff: () => 20, centralLimit: 4 })
--- a/packages/decisions/src/simulation/simulateStoreRush.ts
+++ b/packages/decisions/src/simulation/simulateStoreRush.ts
@@ -2,29 +2,29 @@
 
 import type { ChooseLoadBackoff, LoadPaceView } from '../loading/pace.js'
 
-/** One agent's load in a rush. */
+/** The load that one agent needs from the weight store. */
 export interface RushLoad {
   readonly waitingCount: number
   readonly priority: number
   readonly loadMs: number
 }
 
-/** How the agents go about it. */
+/** How agents access the weight store. */
 export interface RushWay {
-  /** Wait before the first ask; none when left out. */
+  /** Wait before the first attempt; none when omitted. */
   readonly firstWait?: ChooseLoadBackoff
-  /** Wait after being turned away. */
+  /** Wait after a refusal. */
   readonly backOff: ChooseLoadBackoff
-  /** Loads that the fleet starts at most beside each other, as an order without agreement cannot know; unlimited when left out. */
+  /** Maximum concurrent loads of a fleet with a central queue, which agents without coordination cannot enforce; unlimited when omitted. */
   readonly centralLimit?: number
 }
 
-/** What callers see of a rush. */
+/** Results of a burst of loads. */
 export interface RushMeasures {
-  /** Mean wait over callers, not loads. */
+  /** Mean wait over callers rather than loads. */
   readonly meanCallerWaitMs: number
   readonly p99CallerWaitMs: number
-  /** When the last load ended. */
+  /** End of the last load. */
   readonly endMs: number
   readonly refusedCount: number
 }
@@ -39,7 +39,7 @@
 }
 
 const STEP_MS = 20
-const LONGEST_MS = 3_600_000
+const MAX_DURATION_MS = 3_600_000
 const FULL_SPEED_COUNT = 4
 const LOADS_PER_SECOND = 2
 
@@ -52,8 +52,8 @@
 })
 
 /**
- * Lets all agents want the weight store at one moment. The store turns away what goes over its rate and shares its
- * speed among more than four loads.
+ * Simulates agents that all need the weight store at the same moment. The store refuses loads above its rate limit and divides
+ * its bandwidth once more than four loads run.
  */
 export const simulateStoreRush = (loads: readonly RushLoad[], way: RushWay, seed = 1): RushMeasures => {
   const random = makeRandom(seed)
@@ -63,7 +63,7 @@
   let refusedCount = 0
   let nowMs = 0
 
-  const ask = (state: RushState, runningCount: number): void => {
+  const requestLoad = (state: RushState, runningCount: number): void => {
     if (runningCount >= (way.centralLimit ?? Infinity)) return
     if (tokens >= 1) {
       tokens -= 1
@@ -78,7 +78,7 @@
   const step = (): void => {
     tokens = Math.min(LOADS_PER_SECOND, tokens + LOADS_PER_SECOND * STEP_MS / 1_000)
     const due = states.filter(state => !state.isRunning && state.endMs === undefined && state.askAtMs <= nowMs)
-    for (const state of [...due].sort((a, b) => a.askAtMs - b.askAtMs)) ask(state, states.filter(one => one.isRunning).length)
+    for (const state of [...due].sort((a, b) => a.askAtMs - b.askAtMs)) requestLoad(state, states.filter(one => one.isRunning).length)
     const running = states.filter(state => state.isRunning)
     const speed = Math.min(1, FULL_SPEED_COUNT / Math.max(1, running.length))
     for (const state of running) {
@@ -89,8 +89,8 @@
     }
   }
 
-  for (; nowMs < LONGEST_MS && states.some(state => state.endMs === undefined); nowMs += STEP_MS) step()
-  const waits = states.flatMap(state => Array.from({ length: state.load.waitingCount }, () => state.endMs ?? LONGEST_MS)).sort((a, b) => a - b)
+  for (; nowMs < MAX_DURATION_MS && states.some(state => state.endMs === undefined); nowMs += STEP_MS) step()
+  const waits = states.flatMap(state => Array.from({ length: state.load.waitingCount }, () => state.endMs ?? MAX_DURATION_MS)).sort((a, b) => a - b)
   return {
     meanCallerWaitMs: Math.round(waits.reduce((sum, wait) => sum + wait, 0) / waits.length),
     p99CallerWaitMs: waits[Math.ceil(waits.length * 0.99) - 1] ?? 0,
@@ -99,7 +99,7 @@
   }
 }
 
-/** Forty agents wake up: two loads with forty callers each, six with eight, the rest with one. */
+/** Forty agents start a load at once: two loads with forty callers each, six with eight, and the rest with one. */
 export const shiftStart = (): readonly RushLoad[] => Array.from({ length: 40 }, (_, index) => ({
   waitingCount: index % 20 === 13 ? 40 : index % 7 === 3 ? 8 : 1,
   priority: 5,
--- a/packages/decisions/src/simulation/types.ts
+++ b/packages/decisions/src/simulation/types.ts
@@ -20,13 +20,13 @@
   readonly orderLoads: OrderLoads
   readonly chooseRetryAfter: ChooseRetryAfter
   readonly chooseMove: ChooseMove
-  /** True when routers know the queues by priority, so that an urgent request sees what is ahead of it only. */
+  /** Routers receive queue lengths by priority, so that only work ahead of an urgent request counts for it. */
   readonly seesPriorities: boolean
-  /** True when a router's own retries are bounded by budgets; otherwise it retries up to `ROUTER_TRIES`. */
+  /** Retries of a router are limited by budgets; otherwise only by `SimulationConstants.routerTries`. */
   readonly hasRetryBudget: boolean
 }
 
-/** One request of one caller; resends are made by the simulated caller. */
+/** One request of a caller, which resends it if necessary. */
 export interface SimulatedRequest {
   readonly id: string
   readonly atMs: number
@@ -36,11 +36,11 @@
   readonly model: ModelId
   readonly priority: number
   readonly tokens: number
-  /** What the router expects; the truth is `tokens`. */
+  /** Length that the router expects; the actual length is `tokens`. */
   readonly expectedTokens: number
-  /** Patience of the caller for one attempt. */
+  /** Time that the caller waits for one attempt. */
   readonly patienceMs: number
-  /** Requests with the same prefix share a prompt; empty for none. */
+  /** Requests with the same prefix share the beginning of their prompts; empty for none. */
   readonly prefix: string
 }
 
@@ -48,23 +48,23 @@
   readonly model: ModelId
   readonly memoryMb: number
   readonly loadMs: number
-  /** Indices of the servers that hold a replica right. */
+  /** Indices of the servers that may hold a replica. */
   readonly servers: readonly number[]
-  /** Loaded at the start. */
+  /** The model is loaded at the start. */
   readonly isWarm: boolean
 }
 
-/** A stretch of time in which something is wrong. */
+/** A period of degraded service. */
 export interface Disturbance {
   readonly fromMs: number
   readonly toMs: number
-  /** Servers concerned; all when left out. */
+  /** Index of the affected server; all when omitted. */
   readonly server?: number
-  /** How many times slower it is; `Infinity` when it is down. */
+  /** Factor by which the server is slower; `Infinity` when it is down. */
   readonly slowness: number
 }
 
-/** One load pattern: what arrives, on what fleet, and what goes wrong. */
+/** One load pattern: the requests, the fleet and its disturbances. */
 export interface Scenario {
   readonly name: string
   readonly durationMs: number
@@ -76,26 +76,26 @@
   readonly models: readonly SimulatedModel[]
   readonly requests: readonly SimulatedRequest[]
   readonly disturbances: readonly Disturbance[]
-  /** Requests of this kind are measured apart, such as those of the quiet callers. */
+  /** Selects requests that are also measured separately, such as those of the other callers. */
   readonly isObserved?: (request: SimulatedRequest) => boolean
 }
 
-/** A request on its way, with what its caller knows. */
+/** One attempt to get a request served. */
 export interface Attempt {
   readonly request: SimulatedRequest
   readonly resendCount: number
   readonly sentAtMs: number
   readonly deadlineAtMs: number
-  /** Tokens that another server made of it, and when the first one came. */
+  /** Tokens that another server has already generated for it; `firstTokenAtMs` is when the first one arrived. */
   readonly doneTokens: number
   readonly firstTokenAtMs?: number
 }
 
-/** What a caller hears of one attempt. */
+/** Outcome of one attempt as its caller sees it. */
 export type Outcome =
   | { readonly kind: 'served', readonly firstTokenAtMs: number }
   | { readonly kind: 'refused', readonly retryAfterMs: number }
-  /** Its deadline passed without an answer. */
+  /** The deadline passed without an answer. */
   | { readonly kind: 'missed' }
-  /** Its server went down while it ran. */
+  /** The server went down during the attempt. */
   | { readonly kind: 'failed' }
