--- a/packages/decisions/src/loading/pace.ts
+++ b/packages/decisions/src/loading/pace.ts
@@ -1,13 +1,13 @@
-/** What an agent knows when it is about to fetch a checkpoint from the weight store. */
+/** State of a load that an agent is about to fetch from the weight store. */
 export interface LoadPaceView {
-  /** Own callers that wait for the load. */
+  /** The agent's callers that wait for the load. */
   readonly waitingCount: number
   readonly highestPriority: number
-  /** Times that the store has turned this load away. */
+  /** Number of times that the store has refused this load. */
   readonly refusedCount: number
-  /** Time that the load has waited. */
+  /** Time for which the load has waited. */
   readonly waitedMs: number
-  /** Time that the store takes for a load at full speed. */
+  /** Duration of the load at full speed. */
   readonly loadMs: number
 }
 
@@ -16,34 +16,34 @@
 
 const FIRST_BACKOFF_MS = 500
 const MAX_BACKOFF_MS = 8_000
-/** Ten asks a second from one agent at most; the store has hundreds of agents to turn away. */
-const LEAST_BACKOFF_MS = 100
-/** A load waits no longer than this, however few want it. */
-const LONGEST_BACKOFF_MS = 60_000
+/** At most ten attempts per second from one agent, because the store has to refuse hundreds of agents. */
+const MIN_NEED_BACKOFF_MS = 100
+/** Upper limit of the backoff, however few callers wait. */
+const MAX_NEED_BACKOFF_MS = 60_000
 /**
- * Mean back-off of a load that one caller of middle priority wants, in times of its own length. Two brings a rush close
- * to the order of arrival at a central queue; four brings it closer to the order by need, and lets a rush of single
- * callers take twice as long (`docs/design/loads.md`).
+ * Mean backoff of a load that one caller of middle priority waits for, as a multiple of the load's duration. With two, a burst of
+ * loads comes close to the order of arrival at a central queue. Four comes closer to the order by need, but a burst of loads
+ * for single callers takes twice as long (`docs/design/loads.md`).
  */
 const BACKOFF_LOADS = 2
 const PRIORITY_STEP = 1.5
 const MIDDLE_PRIORITY = 5
 
-/** Baseline: exponential back-off with full jitter, the same for all. */
+/** Baseline: exponential backoff with full jitter, equal for all loads. */
 export const backOffEqually: ChooseLoadBackoff = (view, random) =>
   random() * Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** view.refusedCount)
 
 /**
- * Backs off after a refusal for a time in proportion to the load's length and inversely to who waits for it.
+ * Backs off after a refusal in proportion to the load's duration and in inverse proportion to its waiting callers.
  *
- * Load pattern: all agents want the weight store at once, and no process may order them. The store turns away what
- * goes over its rate, and shares its speed among all that it let in. Without it agents ask again within seconds, all
- * are let in one after the other, and all finish together at the end of the rush: those fifty callers wait for as
- * long as the single ones. A refusal is the sign of a rush: whoever has few waiting leaves the store to the others for
- * about the length of its load. An agent that is alone is not turned away and pays nothing.
+ * Load pattern: all agents use the weight store at once, and there is no central queue. The store refuses loads above its rate
+ * limit and divides its bandwidth among those that it admitted. If agents retried within seconds, all loads would be admitted one
+ * after the other and end together, so fifty callers of one model would wait as long as a single caller of another. A refusal
+ * indicates such a burst: an agent with few waiting callers leaves the store to others for about the duration of its load.
+ * A single agent is not refused and loses nothing.
  */
 export const backOffByNeed: ChooseLoadBackoff = (view, random) => {
   const need = Math.max(1, view.waitingCount) * PRIORITY_STEP ** (view.highestPriority - MIDDLE_PRIORITY)
   const meanMs = view.loadMs * BACKOFF_LOADS / need
-  return Math.min(LONGEST_BACKOFF_MS, Math.max(LEAST_BACKOFF_MS, meanMs * (0.5 + random())))
+  return Math.min(MAX_NEED_BACKOFF_MS, Math.max(MIN_NEED_BACKOFF_MS, meanMs * (0.5 + random())))
 }
