--- a/packages/sidecar/src/engine/constants.ts
+++ b/packages/sidecar/src/engine/constants.ts
@@ -1,29 +1,29 @@
-/** Time between reports while nothing is expected: a crash is noticed within it. */
+/** Polling interval while no change is expected. A crash is noticed within it. */
 export const POLL_MS = 100
 
-/** The same while the engine runs nothing and nothing is asked of it: a crash then breaks nothing off. */
-export const REST_POLL_MS = 200
+/** Polling interval while the engine runs no requests and nothing is wanted of it: a crash then interrupts no request. */
+export const IDLE_POLL_MS = 200
 
-/** Least time between reports while an order is carried out; an adapter takes 5 ms. */
+/** Shortest polling interval, used while an order is carried out; loading an adapter takes 5 ms. */
 export const FAST_POLL_MS = 8
 
-/** Part of the time to what is expected, or since it was, that passes between two reports. */
-export const POLL_DISTANCE_SHARE = 0.25
+/** Polling interval as a fraction of the time until an expected change, or of the time since it was due. */
+export const POLL_INTERVAL_RATIO = 0.25
 
-/** A report comes from the same machine within a few ms; a busy one takes longer. */
+/** Timeout of a report. It arrives within a few ms as the engine runs on the same machine; a busy machine takes longer. */
 export const REPORT_TIMEOUT_MS = 300
 
-/** Reports in a row without an answer after which the engine counts as down. */
-export const SILENT_REPORTS = 2
+/** Number of consecutive reports without an answer after which the engine counts as down. */
+export const MISSED_REPORT_THRESHOLD = 2
 
-/** An order is answered within a few ms by the same machine. One that is sent again in vain does no harm. */
+/** Timeout of an order. The answer comes from the same machine within a few ms; an unnecessary repeat of an order is harmless. */
 export const ORDER_TIMEOUT_MS = 200
 
-/** Routers stop sending requests for a model this long before it is unloaded: a message's way and a request's. */
-export const LEAVE_NOTICE_MS = 25
+/** Routers stop sending requests for a model this long before it is unloaded. Covers the delivery of one message and one request. */
+export const UNLOAD_NOTICE_MS = 25
 
-/** Pause after an order that was refused or lost, before the next try. */
+/** Delay before the next order after one that was refused or got no answer. */
 export const ORDER_RETRY_MS = 30
 
-/** An order without an answer is carried out this late at most. */
-export const STRAY_MS = 15_000
+/** Longest time after which an engine may still carry out an order that got no answer. */
+export const LOST_ORDER_TTL_MS = 15_000
--- a/packages/sidecar/src/engine/createLostOrders.test.ts
+++ b/packages/sidecar/src/engine/createLostOrders.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { createVirtualTimers } from '@figmount/base'
 
-import { STRAY_MS } from './constants.js'
+import { LOST_ORDER_TTL_MS } from './constants.js'
 import { createLostOrders } from './createLostOrders.js'
 
 import type { EngineSpec, Order, ServerReport } from '@figmount/fleet'
@@ -31,7 +31,7 @@
 const setUp = (...orders: readonly Order[]) => {
   const timers = createVirtualTimers()
   const lost = createLostOrders(timers)
-  for (const given of orders) lost.note('i-1', given, false)
+  for (const given of orders) lost.add('i-1', given, false)
   const reserved = (orderCount: number, held: readonly string[] = [], serverId = 'i-1'): readonly string[] => {
     const { modelsMb, adapterKeys } = lost.reserve(serverId, report(orderCount, held), SPEC)
     return [...modelsMb.keys(), ...adapterKeys]
@@ -41,12 +41,12 @@
 
 describe('lost orders', () => {
   it('reserve nothing within the start that they were sent to', () => {
-    // There the count alone guards: the order that follows bears the same one, and only one of the two is carried out.
+    // Within one start the count is enough: the next order expects the same count, and only one of the two is carried out.
     const { reserved } = setUp(order(1, 'a'))
     expect(reserved(0)).to.deep.equal([])
   })
 
-  it('reserve room after a restart before the engine comes to their count', () => {
+  it('reserve room after a restart, before the engine reaches the count that they expect', () => {
     const { lost, reserved } = setUp(order(2, 'a'), order(3, 'b', 'a2'), order(5, 'b'))
     lost.noteRestart()
     expect(reserved(0)).to.deep.equal([])
@@ -56,26 +56,26 @@
     expect(reserved(5)).to.deep.equal([])
   })
 
-  it('reserve nothing for what is held, is unloaded or names another server', () => {
+  it('reserve nothing for held models, for unloads or for another server', () => {
     const { lost, reserved } = setUp(order(1, 'a'), order(2, 'a', 'a1'), order(3, 'b', '', 'unload'))
     lost.noteRestart()
     expect(reserved(0, ['a'])).to.deep.equal([])
     expect(reserved(0, [], 'i-2')).to.deep.equal([])
   })
 
-  it('are forgotten in time', () => {
+  it('expire', () => {
     const { timers, lost, reserved } = setUp(order(1, 'a'))
     lost.noteRestart()
-    timers.advance(STRAY_MS - 1)
+    timers.advance(LOST_ORDER_TTL_MS - 1)
     expect(reserved(0)).to.deep.equal(['a'])
     timers.advance(1)
     expect(reserved(0)).to.deep.equal([])
   })
 
-  it('count as of before when their silence shows only after the restart', () => {
+  it('count as sent to an earlier start when they time out after the restart', () => {
     const { lost, reserved } = setUp()
     lost.noteRestart()
-    lost.note('i-1', order(1, 'a'), true)
+    lost.add('i-1', order(1, 'a'), true)
     expect(reserved(0)).to.deep.equal(['a'])
   })
 })
--- a/packages/sidecar/src/engine/createOrderer.test.ts
+++ b/packages/sidecar/src/engine/createOrderer.test.ts
@@ -41,14 +41,14 @@
   readonly sent: Array<Order & { readonly serverId: string }>
   readonly want: (modelName: string) => void
   readonly wantAdapter: (modelName: string, adapterName: string) => void
-  /** Models for which a router says that it has requests running here. */
+  /** Sets the models for which a router reports running requests at this engine. */
   readonly runs: (...modelNames: string[]) => void
-  /** All wants are taken back. */
+  /** Gives up all wants. */
   readonly drop: () => void
-  /** Lets promises settle while virtual time goes on. */
+  /** Advances virtual time and lets promises settle in between. */
   readonly pass: (durationMs: number) => Promise<void>
   readonly otherServerCount: () => number
-  /** The engine has restarted under its id; this is its first report. */
+  /** Simulates a restart of the engine under the same id; the argument is its first report. */
   readonly restart: (given?: Partial<ServerReport>) => void
 }
 
@@ -80,7 +80,7 @@
     coldSpacingMs: 5_100,
     isFirstStart,
     changed: () => {},
-    hurry: () => {}
+    pollNow: () => {}
   })
   const add = (modelName: string, adapterName: string): void => {
     wants.add('r', { type: 'want', wantId: 1, serverId: 'i-1', modelName, adapterName, waitingCount: 1, lateCount: 0, timeLeftMs: 60_000 }, () => {})
@@ -98,7 +98,7 @@
     want: modelName => { add(modelName, '') },
     wantAdapter: add,
     runs: (...runningModels) => { demand.take('r', { type: 'demand', models: [], replicas: [], runningModels }) },
-    drop: () => { wants.giveUpAll('nobody waits') },
+    drop: () => { wants.giveUpAll('no caller waits') },
     pass: async durationMs => {
       for (let passedMs = 0; passedMs < durationMs; passedMs += 10) {
         timers.advance(10)
@@ -109,8 +109,8 @@
 }
 
 describe('orderer', () => {
-  it('repeats a lost order with the same count, so that only one is carried out', async () => {
-    // Guards against a lost order that is carried out beside its repeat.
+  it('repeats an unanswered order with the same expected count, so that only one is carried out', async () => {
+    // Guards against an engine that carries out both a lost order and its repeat.
     const { orderer, sent, want, pass } = setUp([lost, accepted])
     orderer.take(reportOf({ orderCount: 4 }))
     want('a')
@@ -122,7 +122,7 @@
     expect(sent.map(order => [order.modelName, order.expectedOrderCount])).to.deep.equal([['a', 4], ['a', 4]])
   })
 
-  it('repeats a lost load from the weight store without waiting for its next turn', async () => {
+  it('repeats an unanswered load from the weight store without waiting for the spacing between such loads', async () => {
     const { orderer, sent, want, pass } = setUp([lost, accepted])
     orderer.take(reportOf())
     want('b')
@@ -134,8 +134,8 @@
     expect(sent.map(order => order.modelName)).to.deep.equal(['b', 'b'])
   })
 
-  it('begins one load from the weight store in its time, also after a restart', async () => {
-    // Guards against a fleet that restarts together and passes the weight store's bound.
+  it('spaces loads from the weight store, also after a restart of the agent', async () => {
+    // Guards against a deployment whose agents all restart at once and exceed the weight store's limit.
     const { orderer, sent, want, pass } = setUp([], false)
     orderer.take(reportOf())
     want('b')
@@ -148,8 +148,8 @@
     expect(sent).to.have.length(1)
   })
 
-  it('does not lose its turn at the weight store to an order that is turned away', async () => {
-    // Guards against a wait of seconds for a load that never began.
+  it('does not delay the next load from the weight store after a rejected order', async () => {
+    // Guards against a wait of seconds after a load that never began.
     const other: Either<Fault, OrderAnswer> = Right(OrderAnswer.OtherServer)
     const { orderer, sent, want, pass, otherServerCount } = setUp([other, accepted])
     orderer.take(reportOf())
@@ -163,7 +163,7 @@
     expect(sent.map(order => order.modelName)).to.deep.equal(['b', 'b'])
   })
 
-  it('orders nothing more until a report shows what the last order did', async () => {
+  it('sends no further order until a report shows the effect of the last one', async () => {
     const { orderer, sent, want, pass } = setUp([])
     orderer.take(reportOf({ onDisk: ['a', 'b'] }))
     want('a')
@@ -175,7 +175,7 @@
     expect(sent).to.have.length(1)
   })
 
-  it('gives routers notice before a model goes', async () => {
+  it('informs routers before it unloads a model', async () => {
     const { orderer, sent, want, pass } = setUp([])
     orderer.take(reportOf({ models: [{ name: 'b', adapters: [] }] }))
     want('a')
@@ -187,8 +187,8 @@
     expect(sent.map(order => order.operation)).to.deep.equal(['unload'])
   })
 
-  it('does not take a load of before for one that is under way after a restart under the same id', async () => {
-    // Guards against a second load out of turn, as the count is the same again.
+  it('does not mistake an unanswered load from before a restart under the same id for a running one', async () => {
+    // Guards against a second load without the spacing, as the order count is the same again.
     const { orderer, sent, want, pass, restart } = setUp([lost])
     orderer.take(reportOf())
     want('b')
@@ -204,8 +204,8 @@
     expect(sent).to.have.length(2)
   })
 
-  it('leaves room for a lost order of before when the counts come to it again', async () => {
-    // Guards against an engine that crashes by a lost order on top of newer ones.
+  it('leaves room for an order lost before a restart when the order count reaches it again', async () => {
+    // Guards against an engine that crashes because it carries out a lost order on top of newer ones.
     const { orderer, sent, want, drop, pass, restart } = setUp([lost])
     orderer.take(reportOf({ orderCount: 1, onDisk: ['a', 'b', 'c'] }))
     want('a')
@@ -223,7 +223,7 @@
     expect(sent.map(order => order.modelName)).to.deep.equal(['a', 'a'])
   })
 
-  it('fills the room when no lost order of before can come any more', async () => {
+  it('uses the reserved room once an order lost before a restart has expired', async () => {
     const { orderer, sent, want, drop, pass, restart } = setUp([lost])
     orderer.take(reportOf({ orderCount: 1, onDisk: ['a', 'b'] }))
     want('a')
@@ -241,7 +241,7 @@
     expect(sent.map(order => order.modelName)).to.deep.equal(['a', 'b'])
   })
 
-  it('leaves no room where the counts have passed a lost order', async () => {
+  it('leaves no room for a lost order whose expected count has passed', async () => {
     const { orderer, sent, want, drop, pass, restart } = setUp([lost])
     orderer.take(reportOf({ orderCount: 1, onDisk: ['a', 'b'] }))
     want('a')
@@ -255,8 +255,8 @@
     expect(sent.map(order => order.modelName)).to.deep.equal(['a', 'b'])
   })
 
-  it('gives no order that was planned for the start before', async () => {
-    // Guards against an unload of what a restarted engine holds.
+  it('does not send an order that was planned before a restart', async () => {
+    // Guards against unloading a model that a restarted engine holds.
     const { orderer, sent, want, pass, restart } = setUp([])
     orderer.take(reportOf({ models: [{ name: 'b', adapters: [] }] }))
     want('a')
@@ -269,7 +269,7 @@
   })
 
   it('orders no unload while requests run', async () => {
-    // Guards against an engine that takes no orders while an unload waits for a stream.
+    // Guards against an engine that accepts no orders while an unload waits for a stream to end.
     const { orderer, sent, want, runs, pass } = setUp([])
     const held = { models: [{ name: 'b', adapters: [] }], runningCount: 1 }
     runs('b')
@@ -281,7 +281,7 @@
     await pass(100)
     expect(orderer.leavingModels()).to.deep.equal(['b'])
     expect(sent).to.deep.equal([])
-    // Streams take seconds to end: read as often as for an order of 5 ms, reports cost a tenth of a core all the while.
+    // Streams take seconds to end: polling as often as for an order of 5 ms would cost a tenth of a core for all that time.
     expect(orderer.nextPollMs()).to.equal(POLL_MS)
     runs()
     orderer.take(reportOf({ ...held, runningCount: 0 }))
@@ -291,7 +291,7 @@
     expect(sent[0]).to.deep.include({ operation: 'unload', modelName: 'b' })
   })
 
-  it('lets a model stay that need not go any more', async () => {
+  it('lets a drained model accept requests again when it need not be unloaded any more', async () => {
     const { orderer, sent, want, runs, drop, pass } = setUp([])
     runs('b')
     orderer.take(reportOf({ models: [{ name: 'b', adapters: [] }], runningCount: 1 }))
@@ -305,7 +305,7 @@
     expect(sent).to.deep.equal([])
   })
 
-  it('reads no more reports than usual while adapters wait for the end of a load, nor while the load is late', async () => {
+  it('polls no faster than usual while adapters wait for a load to end, nor while the load is late', async () => {
     const { timers, orderer, want, wantAdapter, pass } = setUp([])
     orderer.take(reportOf())
     want('b')
@@ -320,7 +320,7 @@
     expect(orderer.nextPollMs()).to.equal(POLL_MS)
   })
 
-  it('reads reports often while an adapter comes, and less often the longer it takes', async () => {
+  it('polls often while an adapter is fetched, and less often the longer that takes', async () => {
     const { timers, orderer, wantAdapter, pass } = setUp([])
     const held = [{ name: 'a', adapters: [] }]
     orderer.take(reportOf({ models: held }))
--- a/packages/sidecar/src/engine/viewEngine.ts
+++ b/packages/sidecar/src/engine/viewEngine.ts
@@ -5,37 +5,37 @@
 import type { EngineSpec, ModelSpec, ServerReport } from '@figmount/fleet'
 import type { DemandBook } from '../demand/createDemandBook.js'
 import type { OpenWant } from '../wants/createWantBook.js'
-import type { Reserve } from './createLostOrders.js'
+import type { ReservedRoom } from './createLostOrders.js'
 
-/** All that an order is decided by. */
+/** Input of the decision on the next order. */
 export interface EngineInputs {
   readonly spec: EngineSpec
   readonly report: ServerReport
   readonly demand: DemandBook
   readonly wants: readonly OpenWant[]
   readonly mayLoadCold: boolean
-  /** Model that is being loaded; empty when none. */
-  readonly comingModel: string
+  /** Model that is being loaded; empty for none. */
+  readonly loadingModel: string
   readonly unansweredLoad: string
-  /** Room that lost orders may still take. */
-  readonly reserve: Reserve
+  /** Room that unanswered orders may still take. */
+  readonly reserve: ReservedRoom
   readonly nowMs: number
-  /** When each model held was loaded or first seen. */
+  /** Time at which each held model was loaded or first seen. */
   readonly heldSinceMs: ReadonlyMap<string, number>
 }
 
-const specMaps = new WeakMap<EngineSpec, ReadonlyMap<string, ModelSpec>>()
+const modelSpecsByEngine = new WeakMap<EngineSpec, ReadonlyMap<string, ModelSpec>>()
 
-/** Specs by name; made once for each configuration, as an agent plans with each report of its engine. */
-const specsOf = (spec: EngineSpec): ReadonlyMap<string, ModelSpec> => {
-  const known = specMaps.get(spec)
+/** Model specs by name, cached for each configuration because an agent plans after every report of its engine. */
+const modelSpecsOf = (spec: EngineSpec): ReadonlyMap<string, ModelSpec> => {
+  const known = modelSpecsByEngine.get(spec)
   if (known) return known
   const specs = new Map(spec.models.map(model => [model.name, model]))
-  specMaps.set(spec, specs)
+  modelSpecsByEngine.set(spec, specs)
   return specs
 }
 
-/** Time that a load of the model takes the engine. */
+/** Time that the engine needs to load the model from its nearest copy. */
 export const loadMsOf = (report: ServerReport, model: ModelSpec | undefined, modelName: string): number => {
   if (!model) return 0
   if (report.inMemory.includes(modelName)) return model.memoryLoadMs
@@ -43,17 +43,17 @@
 }
 
 /**
- * Whether a model has running requests. Routers tell twice a second for which they have some; the engine's own report is
- * newer but counts over all models, so it decides where it is certain.
+ * Whether a model has running requests. Routers report twice a second for which models they have some. The engine's own
+ * report is newer but counts requests over all models, so it is used only where it leaves no doubt.
  */
-const isRunning = (report: ServerReport, isTold: boolean): boolean => {
+const isRunning = (report: ServerReport, hasReportedRequests: boolean): boolean => {
   if (report.runningCount === 0 && report.startingCount === 0) return false
-  return isTold || report.models.length === 1
+  return hasReportedRequests || report.models.length === 1
 }
 
-/** The models held, as candidates to make way. */
+/** The held models as candidates for eviction. */
 export const viewResidents = (inputs: EngineInputs): readonly PlacedModel[] => {
-  const specs = specsOf(inputs.spec)
+  const specs = modelSpecsOf(inputs.spec)
   return inputs.report.models.map(held => {
     const model = specs.get(held.name)
     const total = inputs.demand.totalFor(held.name)
@@ -72,9 +72,9 @@
   })
 }
 
-/** Memory for weights and adapters that is not taken. Adapters on their way count. */
+/** Free memory for weights and adapters. Adapters that are being fetched count as taken. */
 export const freeMbOf = (spec: EngineSpec, report: ServerReport): number => {
-  const specs = specsOf(spec)
+  const specs = modelSpecsOf(spec)
   let takenMb = 0
   for (const held of report.models) {
     const model = specs.get(held.name)
@@ -84,18 +84,18 @@
   return spec.weightsCapacityMb - takenMb
 }
 
-const reservedMb = (spec: EngineSpec, { modelsMb, adapterKeys }: Reserve): number => {
-  const specs = specsOf(spec)
+const reservedMb = (spec: EngineSpec, { modelsMb, adapterKeys }: ReservedRoom): number => {
+  const specs = modelSpecsOf(spec)
   let totalMb = 0
   for (const weightsMb of modelsMb.values()) totalMb += weightsMb
   for (const key of adapterKeys) totalMb += specs.get(key.split('/')[0] ?? '')?.adapterMb ?? 0
   return totalMb
 }
 
-/** Room of the model that is being loaded and not yet listed as held. */
-const comingMb = ({ spec, report, comingModel }: EngineInputs): number => {
+/** Memory for the model that is being loaded and not yet listed as held. */
+const loadingMb = ({ spec, report, loadingModel: comingModel }: EngineInputs): number => {
   if (report.models.some(model => model.name === comingModel)) return 0
-  return specsOf(spec).get(comingModel)?.weightsMb ?? 0
+  return modelSpecsOf(spec).get(comingModel)?.weightsMb ?? 0
 }
 
 const viewAdapters = ({ report, demand }: EngineInputs): readonly ResidentAdapter[] =>
@@ -104,9 +104,9 @@
   })))
 
 const viewWant = (inputs: EngineInputs, want: OpenWant): WantView => {
-  const model = specsOf(inputs.spec).get(want.modelName)
+  const model = modelSpecsOf(inputs.spec).get(want.modelName)
   const total = inputs.demand.totalFor(want.modelName)
-  // A router sees the queue that its own requests meet at once, and the agent the demand of all routers, a few seconds late.
+  // A router sees at once the queue that its own requests meet; the agent sees the demand of all routers, a few seconds late.
   const lateCount = Math.max(want.lateCount, lateByFewer(total, total.replicaCount + 1, total.replicaCount))
   return {
     modelName: want.modelName,
@@ -114,7 +114,7 @@
     waitingCount: want.waitingCount,
     lateCount,
     ageMs: inputs.nowMs - want.sinceMs,
-    // A model that a lost order may bring finds its room reserved.
+    // Room for a model that an unanswered order may still load is reserved already.
     weightsMb: (model?.weightsMb ?? Infinity) - (inputs.reserve.modelsMb.get(want.modelName) ?? 0),
     adapterMb: model?.adapterMb ?? 0,
     isAtHand: hasCopy(inputs.report, want.modelName),
@@ -122,7 +122,7 @@
   }
 }
 
-/** The engine as the decision on the next order sees it. */
+/** The engine's state as input for planning the next order. */
 export const viewEngine = (inputs: EngineInputs): EngineView => {
   const adapters = viewAdapters(inputs)
   const adapterKeys = new Set([
@@ -133,15 +133,15 @@
     residents: viewResidents(inputs),
     adapters,
     adapterKeys,
-    freeMb: freeMbOf(inputs.spec, inputs.report) - reservedMb(inputs.spec, inputs.reserve) - comingMb(inputs),
+    freeMb: freeMbOf(inputs.spec, inputs.report) - reservedMb(inputs.spec, inputs.reserve) - loadingMb(inputs),
     freeAdapterSlots: inputs.spec.adapterSlots - adapterKeys.size - inputs.reserve.adapterKeys.size,
     isBusy: inputs.report.isBusy,
     mayLoadCold: inputs.mayLoadCold,
-    comingModel: inputs.comingModel,
+    comingModel: inputs.loadingModel,
     unansweredLoad: inputs.unansweredLoad,
     wants: inputs.wants.map(want => viewWant(inputs, want))
   }
 }
 
-/** What to do next at the engine. */
-export const nextOrder = (inputs: EngineInputs): OrderPlan => planOrder(viewEngine(inputs))
+/** Plans the next order to the engine. */
+export const planNextOrder = (inputs: EngineInputs): OrderPlan => planOrder(viewEngine(inputs))
--- a/packages/sidecar/src/engine/watchEngine.ts
+++ b/packages/sidecar/src/engine/watchEngine.ts
@@ -1,6 +1,6 @@
 import { runInBackground, sleep } from '@figmount/base'
 
-import { REPORT_TIMEOUT_MS, SILENT_REPORTS } from './constants.js'
+import { REPORT_TIMEOUT_MS, MISSED_REPORT_THRESHOLD } from './constants.js'
 
 import type { EventLog, Fault, TimerService } from '@figmount/base'
 import type { EnginePort, ServerReport } from '@figmount/fleet'
@@ -9,53 +9,53 @@
   readonly engine: EnginePort
   readonly timers: TimerService
   readonly events: EventLog
-  /** Time until the next report, by what is expected to change. */
+  /** Time until the next report; shorter when a change is expected soon. */
   readonly nextPollMs: () => number
   readonly take: (report: ServerReport) => void
   readonly down: (fault: Fault) => void
 }
 
-/** Reads the engine's report over and over until stopped. */
+/** Polls the engine's report until stopped. */
 export interface EngineWatch {
-  /** Reads at once instead of at the next turn. */
-  readonly hurry: () => void
+  /** Ends the pause between two reports and polls at once. */
+  readonly pollNow: () => void
   readonly stop: () => void
 }
 
-/** Watches the engine beside the agent. */
+/** Starts polling the reports of the agent's engine. */
 export const watchEngine = ({ engine, timers, events, nextPollMs, take, down }: Options): EngineWatch => {
   const stopping = new AbortController()
-  let nap = new AbortController()
-  let silentCount = 0
+  let pause = new AbortController()
+  let missedCount = 0
 
   const noteFault = (fault: Fault): void => {
-    silentCount += 1
-    // One lost report is no failure; a refused connection is: nobody listens there.
-    if (silentCount >= SILENT_REPORTS || fault.kind === 'unavailable') down(fault)
+    missedCount += 1
+    // One missed report does not mean that the engine is down, but a refused connection does: no process listens there.
+    if (missedCount >= MISSED_REPORT_THRESHOLD || fault.kind === 'unavailable') down(fault)
   }
 
-  const follow = async (): Promise<void> => {
+  const pollUntilStopped = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       const result = await engine.readReport(REPORT_TIMEOUT_MS).run()
       if (stopping.signal.aborted) return
       result.caseOf({
         Left: noteFault,
         Right: report => {
-          silentCount = 0
+          missedCount = 0
           take(report)
         }
       })
-      nap = new AbortController()
-      await sleep(timers, nextPollMs(), nap.signal)
+      pause = new AbortController()
+      await sleep(timers, nextPollMs(), pause.signal)
     }
   }
 
-  runInBackground(events, 'engine.watch', follow())
+  runInBackground(events, 'engine.watch', pollUntilStopped())
   return {
-    hurry: () => { nap.abort() },
+    pollNow: () => { pause.abort() },
     stop: () => {
       stopping.abort()
-      nap.abort()
+      pause.abort()
     }
   }
 }
--- a/packages/sidecar/src/sidecar/describeEngine.ts
+++ b/packages/sidecar/src/sidecar/describeEngine.ts
@@ -5,7 +5,7 @@
 import type { TimerService } from '@figmount/base'
 import type { AgentLoad, AgentState, EngineSpec, ServerReport } from '@figmount/fleet'
 import type { DemandBook } from '../demand/createDemandBook.js'
-import type { Reserve } from '../engine/createLostOrders.js'
+import type { ReservedRoom } from '../engine/createLostOrders.js'
 import type { Orderer } from '../engine/createOrderer.js'
 import type { WantBook } from '../wants/createWantBook.js'
 import type { Identity } from './createIdentity.js'
@@ -25,7 +25,7 @@
 
 type RoomPrice = Pick<AgentState, 'roomMs' | 'evictionLoss'>
 
-const NOTHING_RESERVED: Reserve = { modelsMb: new Map(), adapterKeys: new Set() }
+const NOTHING_RESERVED: ReservedRoom = { modelsMb: new Map(), adapterKeys: new Set() }
 
 const NO_PRICE: RoomPrice = { roomMs: 0, evictionLoss: 0 }
 
@@ -33,7 +33,7 @@
 const priceRoom = ({ timers, spec, orderer, demand }: DescribedEngine, report: ServerReport): RoomPrice => {
   if (!spec || report.models.length === 0) return NO_PRICE
   const residents = viewResidents({
-    spec, report, demand, wants: [], mayLoadCold: true, comingModel: '', unansweredLoad: '', reserve: NOTHING_RESERVED, nowMs: timers.nowMs(), heldSinceMs: orderer.heldSinceMs()
+    spec, report, demand, wants: [], mayLoadCold: true, loadingModel: '', unansweredLoad: '', reserve: NOTHING_RESERVED, nowMs: timers.nowMs(), heldSinceMs: orderer.heldSinceMs()
   })
   const largestMb = Math.max(0, ...spec.models.map(model => model.weightsMb))
   const leaving = residents.find(resident => orderer.leavingModels().includes(resident.modelName))
--- a/packages/sidecar/src/sidecar/startSidecar.ts
+++ b/packages/sidecar/src/sidecar/startSidecar.ts
@@ -79,7 +79,7 @@
     coldSpacingMs: COLD_SPACING_MS,
     isFirstStart: options.isFirstStart,
     changed: () => { links.tell() },
-    hurry: () => { watch.hurry() }
+    pollNow: () => { watch.pollNow() }
   })
 
   const isHeld = (modelName: string, adapterName: string): boolean => {
@@ -131,7 +131,7 @@
     isUp = false
     isEngineKnown = true
     identity.drop(reason)
-    orderer.forget()
+    orderer.reset()
     wants.giveUpAll('engine is down')
     links.tell()
   }
