--- a/packages/sidecar/src/engine/createOrderer.test.ts
+++ b/packages/sidecar/src/engine/createOrderer.test.ts
@@ -3,8 +3,8 @@
 import { createEventLog, createVirtualTimers, makeFault } from '@figmount/base'
 import { OrderAnswer } from '@figmount/fleet'
 
-import { createDemandBook } from '../demand/createDemandBook.js'
-import { createWantBook } from '../wants/createWantBook.js'
+import { createDemandTotals } from '../demand/createDemandTotals.js'
+import { createWantRegistry } from '../wants/createWantRegistry.js'
 import { FAST_POLL_MS, POLL_MS } from './constants.js'
 import { createOrderer } from './createOrderer.js'
 
@@ -57,8 +57,8 @@
 
 const setUp = (answers: Array<Either<Fault, OrderAnswer>>, isFirstStart = true): Bench => {
   const timers = createVirtualTimers()
-  const wants = createWantBook(timers)
-  const demand = createDemandBook(timers)
+  const wants = createWantRegistry(timers)
+  const demand = createDemandTotals(timers)
   const sent: Bench['sent'] = []
   let otherServerCount = 0
   const orderer = createOrderer({
@@ -98,7 +98,7 @@
     want: modelName => { add(modelName, '') },
     wantAdapter: add,
     runs: (...runningModels) => { demand.take('r', { type: 'demand', models: [], replicas: [], runningModels }) },
-    drop: () => { wants.giveUpAll('no caller waits') },
+    drop: () => { wants.failAll('no caller waits') },
     pass: async durationMs => {
       for (let passedMs = 0; passedMs < durationMs; passedMs += 10) {
         timers.advance(10)
--- a/packages/sidecar/src/engine/createOrderer.ts
+++ b/packages/sidecar/src/engine/createOrderer.ts
@@ -10,8 +10,8 @@
 import type { EventLog, Fault, TimerService } from '@figmount/base'
 import type { PlannedOrder } from '@figmount/decisions'
 import type { EnginePort, EngineSpec, ServerReport } from '@figmount/fleet'
-import type { DemandBook } from '../demand/createDemandBook.js'
-import type { WantBook } from '../wants/createWantBook.js'
+import type { DemandTotals } from '../demand/createDemandTotals.js'
+import type { WantRegistry } from '../wants/createWantRegistry.js'
 
 /** The load of a model that is in progress. */
 export interface CurrentLoad {
@@ -32,8 +32,8 @@
   readonly engine: EnginePort
   readonly timers: TimerService
   readonly events: EventLog
-  readonly demand: DemandBook
-  readonly wants: WantBook
+  readonly demand: DemandTotals
+  readonly wants: WantRegistry
   readonly spec: () => EngineSpec | undefined
   readonly serverId: () => string
   /** Another start of the server has answered: the id in use belongs to an earlier one. */
--- a/packages/sidecar/src/engine/viewEngine.ts
+++ b/packages/sidecar/src/engine/viewEngine.ts
@@ -3,15 +3,15 @@
 
 import type { EngineView, OrderPlan, ResidentAdapter, PlacedModel, WantView } from '@figmount/decisions'
 import type { EngineSpec, ModelSpec, ServerReport } from '@figmount/fleet'
-import type { DemandBook } from '../demand/createDemandBook.js'
-import type { OpenWant } from '../wants/createWantBook.js'
+import type { DemandTotals } from '../demand/createDemandTotals.js'
+import type { OpenWant } from '../wants/createWantRegistry.js'
 import type { ReservedRoom } from './createLostOrders.js'
 
 /** Input of the decision on the next order. */
 export interface EngineInputs {
   readonly spec: EngineSpec
   readonly report: ServerReport
-  readonly demand: DemandBook
+  readonly demand: DemandTotals
   readonly wants: readonly OpenWant[]
   readonly mayLoadCold: boolean
   /** Model that is being loaded; empty for none. */
--- a/packages/sidecar/src/limits/createLimiters.ts
+++ b/packages/sidecar/src/limits/createLimiters.ts
@@ -4,44 +4,44 @@
 import type { RateLimit, TokenBucket } from '@figmount/decisions'
 import type { LimiterChosen, UnitsAnswered, UnitsAsked, UnitsReturned } from '@figmount/fleet'
 
-/** After the first start of the whole system routers bring a full part for this long; later an unknown part has been taken already. */
-const FIRST_FULL_MS = 4_000
+/** For this long after the first start of the whole system, a joining router adds a full share; later its share may be spent already. */
+const FULL_START_MS = 4_000
 
 interface Limiter {
-  /** Routers whose requests it counts. */
+  /** Routers whose requests this limiter counts. */
   readonly routers: ReadonlySet<string>
   readonly bucket: TokenBucket
 }
 
 interface Options {
   readonly timers: TimerService
-  /** The limit in force; undefined for an organisation that has none or is not known here. */
+  /** The limit in force; undefined for an organisation without one or one that the agent's configuration does not contain. */
   readonly limitOf: (organisationName: string) => RateLimit | undefined
   /** The whole system starts for the first time. */
   readonly isFirstStart: boolean
 }
 
-/** The buckets that an agent keeps for organisations, for the routers that chose it. */
+/** Token buckets of organisations, for the routers that chose this agent as their limiter. */
 export interface Limiters {
-  /** Takes in which organisations a router counts here from now on. */
+  /** Replaces the set of organisations whose requests a router counts here. */
   readonly choose: (router: string, chosen: Pick<LimiterChosen, 'organisations' | 'routerCount'>) => void
   readonly dropRouter: (router: string) => void
   readonly ask: (router: string, asked: UnitsAsked) => UnitsAnswered
-  readonly giveBack: (router: string, returned: UnitsReturned) => void
+  readonly returnUnits: (router: string, returned: UnitsReturned) => void
 }
 
 /**
- * Makes the limiters of one agent.
+ * Creates the limiters of one agent.
  *
- * A bucket has the part of the limit that its routers are of all routers. One that moves takes its part along, so that limiters which
- * die, are cut off or come back never let more through together than the limit.
+ * A bucket has the share of the limit that its routers are of all routers. A router that moves to another limiter takes its
+ * share along, so limiters that crash, are partitioned or come back never admit more than the limit together.
  */
 export const createLimiters = ({ timers, limitOf, isFirstStart }: Options): Limiters => {
   const startedMs = timers.nowMs()
   const limiters = new Map<string, Limiter>()
-  const toldCounts = new Map<string, number>()
+  const reportedCounts = new Map<string, number>()
 
-  const shareOf = (count: number): number => count / Math.max(count, ...toldCounts.values())
+  const shareOf = (count: number): number => count / Math.max(count, ...reportedCounts.values())
 
   const limitFor = (name: string, { routers }: Limiter): RateLimit | undefined => {
     const limit = limitOf(name)
@@ -53,18 +53,18 @@
     return limit ? refill(limiter.bucket, limit, timers.nowMs()) : emptyBucket(timers.nowMs())
   }
 
-  const join = (name: string, router: string): void => {
+  const addRouter = (name: string, router: string): void => {
     const known = limiters.get(name) ?? { routers: new Set<string>(), bucket: emptyBucket(timers.nowMs()) }
     if (known.routers.has(router)) return
     const bucket = refilled(name, known)
     const next = { routers: new Set([...known.routers, router]), bucket }
     const limit = limitFor(name, next)
-    const isFull = isFirstStart && timers.nowMs() - startedMs < FIRST_FULL_MS
-    const part = limit && isFull ? capacityOf(shareOfLimit(limit, 1 / next.routers.size)) : 0
-    limiters.set(name, { ...next, bucket: { ...bucket, levelUnits: bucket.levelUnits + part } })
+    const isFull = isFirstStart && timers.nowMs() - startedMs < FULL_START_MS
+    const addedUnits = limit && isFull ? capacityOf(shareOfLimit(limit, 1 / next.routers.size)) : 0
+    limiters.set(name, { ...next, bucket: { ...bucket, levelUnits: bucket.levelUnits + addedUnits } })
   }
 
-  const leave = (name: string, router: string): void => {
+  const removeRouter = (name: string, router: string): void => {
     const known = limiters.get(name)
     if (!known?.routers.has(router)) return
     const bucket = refilled(name, known)
@@ -75,22 +75,22 @@
   }
 
   return {
-    choose: (router, { organisations, routerCount: told }) => {
-      toldCounts.set(router, told)
+    choose: (router, { organisations, routerCount: reportedCount }) => {
+      reportedCounts.set(router, reportedCount)
       const chosen = new Set(organisations)
       for (const name of [...limiters.keys()]) {
-        if (!chosen.has(name)) leave(name, router)
+        if (!chosen.has(name)) removeRouter(name, router)
       }
-      for (const name of chosen) join(name, router)
+      for (const name of chosen) addRouter(name, router)
     },
     dropRouter: router => {
-      for (const name of [...limiters.keys()]) leave(name, router)
-      toldCounts.delete(router)
+      for (const name of [...limiters.keys()]) removeRouter(name, router)
+      reportedCounts.delete(router)
     },
     ask: (router, { askId, organisation, units, maxWaitMs }) => {
       const limiter = limiters.get(organisation)
       const limit = limiter && limitFor(organisation, limiter)
-      // The router has chosen another limiter meanwhile, or knows another configuration.
+      // The router has meanwhile chosen another limiter, or has another version of the configuration.
       if (!limiter?.routers.has(router) || !limit) return { type: 'unitsAnswered', askId, outcome: 'unknown', waitMs: 0 }
       const taking = takeUnits(limiter.bucket, limit, { units, maxWaitMs }, needNoDebt, timers.nowMs())
       limiters.set(organisation, { ...limiter, bucket: taking.bucket })
@@ -98,7 +98,7 @@
         ? { type: 'unitsAnswered', askId, outcome: 'taken', waitMs: taking.waitMs }
         : { type: 'unitsAnswered', askId, outcome: 'refused', waitMs: taking.retryAfterMs }
     },
-    giveBack: (router, { organisation, units }) => {
+    returnUnits: (router, { organisation, units }) => {
       const limiter = limiters.get(organisation)
       if (!limiter?.routers.has(router)) return
       limiters.set(organisation, { ...limiter, bucket: { ...limiter.bucket, levelUnits: limiter.bucket.levelUnits + units } })
--- a/packages/sidecar/src/links/serveRouters.ts
+++ b/packages/sidecar/src/links/serveRouters.ts
@@ -13,7 +13,7 @@
 import type { AgentLoad, AgentMessage, AgentState, AgentStateChange, Demand, ListRead, Relay, RouterMessage, Want } from '@figmount/fleet'
 import type { Link } from '@figmount/peers'
 import type { Limiters } from '../limits/createLimiters.js'
-import type { Settle } from '../wants/createWantBook.js'
+import type { Settle } from '../wants/createWantRegistry.js'
 
 type RouterLink = Link<AgentMessage, RouterMessage>
 
@@ -162,7 +162,7 @@
       .with({ type: 'deploymentAsked' }, () => { sendDeployment(link) })
       .with({ type: 'limiterChosen' }, chosen => { options.limiters.choose(link.peer, chosen) })
       .with({ type: 'unitsAsked' }, asked => { sendTo(link, options.limiters.ask(link.peer, asked)) })
-      .with({ type: 'unitsReturned' }, returned => { options.limiters.giveBack(link.peer, returned) })
+      .with({ type: 'unitsReturned' }, returned => { options.limiters.returnUnits(link.peer, returned) })
       .with({ type: 'crash' }, notice => { sendToAll(notice, link) })
       .with({ type: 'heartbeat' }, () => {})
       .exhaustive()
--- a/packages/sidecar/src/sidecar/describeEngine.ts
+++ b/packages/sidecar/src/sidecar/describeEngine.ts
@@ -4,10 +4,10 @@
 
 import type { TimerService } from '@figmount/base'
 import type { AgentLoad, AgentState, EngineSpec, ServerReport } from '@figmount/fleet'
-import type { DemandBook } from '../demand/createDemandBook.js'
+import type { DemandTotals } from '../demand/createDemandTotals.js'
 import type { ReservedRoom } from '../engine/createLostOrders.js'
 import type { Orderer } from '../engine/createOrderer.js'
-import type { WantBook } from '../wants/createWantBook.js'
+import type { WantRegistry } from '../wants/createWantRegistry.js'
 import type { Identity } from './createIdentity.js'
 
 /** All that an agent tells routers of its engine. */
@@ -17,8 +17,8 @@
   readonly isUp: boolean
   readonly identity: Identity
   readonly orderer: Orderer
-  readonly demand: DemandBook
-  readonly wants: WantBook
+  readonly demand: DemandTotals
+  readonly wants: WantRegistry
   readonly deploymentOffset: number
   readonly routerCount: number
 }
--- a/packages/sidecar/src/sidecar/startSidecar.ts
+++ b/packages/sidecar/src/sidecar/startSidecar.ts
@@ -1,6 +1,6 @@
 import { countMessages } from '@figmount/base'
 
-import { createDemandBook } from '../demand/createDemandBook.js'
+import { createDemandTotals } from '../demand/createDemandTotals.js'
 import { createOrderer } from '../engine/createOrderer.js'
 import { hasRestarted } from '../engine/hasRestarted.js'
 import { watchEngine } from '../engine/watchEngine.js'
@@ -8,7 +8,7 @@
 import { TELL_PERIOD_MS } from '../links/constants.js'
 import { serveRouters } from '../links/serveRouters.js'
 import { createLimiters } from '../limits/createLimiters.js'
-import { createWantBook } from '../wants/createWantBook.js'
+import { createWantRegistry } from '../wants/createWantRegistry.js'
 import { COLD_SPACING_MS } from './constants.js'
 import { createIdentity } from './createIdentity.js'
 import { describeEngine, describeEngineLoad } from './describeEngine.js'
@@ -17,7 +17,7 @@
 import type { InstanceName, ProcessContext, RunningProcess } from '@figmount/base'
 import type { RateLimit } from '@figmount/decisions'
 import type { AgentState, EnginePort, Organisations, Service, ServerReport, StorePort, Want } from '@figmount/fleet'
-import type { Settle } from '../wants/createWantBook.js'
+import type { Settle } from '../wants/createWantRegistry.js'
 
 /** What an agent on the HTTP path is started with. */
 export interface SidecarOptions {
@@ -44,8 +44,8 @@
 /** Starts an agent: it watches one engine, orders its models, and tells routers what it holds. */
 export const startSidecar = async (options: SidecarOptions): Promise<RunningProcess> => {
   const { timers, events, metrics } = options.context
-  const demand = createDemandBook(timers)
-  const wants = createWantBook(timers)
+  const demand = createDemandTotals(timers)
+  const wants = createWantRegistry(timers)
   const deployments = followDeployment({ store: options.store, timers, events })
   const limiters = createLimiters({
     timers,
@@ -110,7 +110,7 @@
     events.emit(SidecarEvent.engineRestarted, { peer: identity.current().serverId })
     orderer.noteRestart()
     identity.drop(RESTARTED)
-    wants.giveUpAll(RESTARTED)
+    wants.failAll(RESTARTED)
     links.tell()
   }
 
@@ -132,7 +132,7 @@
     isEngineKnown = true
     identity.drop(reason)
     orderer.reset()
-    wants.giveUpAll('engine is down')
+    wants.failAll('engine is down')
     links.tell()
   }
 
@@ -200,7 +200,7 @@
       stopTelling()
       watch.stop()
       deployments.stop()
-      wants.giveUpAll('the agent stops')
+      wants.failAll('the agent stops')
       links.close()
     }
   }
--- a/packages/sidecar/src/testing/freePort.ts
+++ b/packages/sidecar/src/testing/freePort.ts
@@ -2,7 +2,7 @@
 
 import type { AddressInfo } from 'node:net'
 
-/** A port of 127.0.0.1 on which nothing listens. */
+/** Returns a port of 127.0.0.1 on which no process listens. */
 export const freePort = async (): Promise<number> => {
   const server = createServer()
   await new Promise<void>(resolve => { server.listen(0, '127.0.0.1', resolve) })
--- a/packages/sidecar/src/testing/makeStateForTest.ts
+++ b/packages/sidecar/src/testing/makeStateForTest.ts
@@ -1,6 +1,6 @@
 import type { AgentState } from '@figmount/fleet'
 
-/** The state of an agent whose engine holds one model and does nothing, for tests. */
+/** Creates the state of an agent whose engine holds one model and runs no requests. */
 export const makeStateForTest = (): AgentState => ({
   type: 'state',
   serverId: 'a',
--- a/packages/sidecar/src/wants/createWantBook.ts
+++ b/packages/sidecar/src/wants/createWantRegistry.ts
@@ -2,10 +2,10 @@
 import type { Want, WantSettled } from '@figmount/fleet'
 
 /** How a want ended. */
-export type WantEnd = Pick<WantSettled, 'isReady' | 'isLost' | 'reason'>
+export type WantOutcome = Pick<WantSettled, 'isReady' | 'isLost' | 'reason'>
 
-/** Tells a router what became of its want. */
-export type Settle = (wantId: number, outcome: WantEnd) => void
+/** Reports the outcome of a want to its router. */
+export type Settle = (wantId: number, outcome: WantOutcome) => void
 
 interface Waiter {
   readonly router: string
@@ -16,28 +16,28 @@
   readonly settle: Settle
 }
 
-/** Wants of several routers for the same thing. */
+/** The merged wants of several routers for the same model or adapter. */
 export interface OpenWant {
   readonly modelName: string
   readonly adapterName: string
-  /** Since when it has been asked for in vain. */
+  /** Time since which it has been wanted without being available. */
   readonly sinceMs: number
   readonly waitingCount: number
   readonly lateCount: number
 }
 
-/** What routers want of one engine and has not come. */
-export interface WantBook {
+/** Open wants: models and adapters that routers want on one engine and that are not available yet. */
+export interface WantRegistry {
   readonly add: (router: string, want: Want, settle: Settle) => void
-  /** Takes a want back. */
+  /** Removes a want without settling it. */
   readonly drop: (router: string, wantId: number) => void
-  /** Takes back all wants of a router that has gone: its callers have lost their connections. */
+  /** Removes all wants of a disconnected router: its callers have lost their connections. */
   readonly dropRouter: (router: string) => void
   readonly open: () => readonly OpenWant[]
-  /** Settles what is in place by `isHeld`, and gives up what has run out of time. */
+  /** Settles the wants that `isHeld` reports as met and those that have expired. */
   readonly review: (isHeld: (modelName: string, adapterName: string) => boolean) => void
-  /** Gives up everything, for instance because the engine is leaving. */
-  readonly giveUpAll: (reason: string) => void
+  /** Settles all wants as lost, for instance because the engine is draining. */
+  readonly failAll: (reason: string) => void
 }
 
 interface Entry {
@@ -47,16 +47,16 @@
   readonly waiters: readonly Waiter[]
 }
 
-/** Makes the want book of one agent. */
-export const createWantBook = (timers: TimerService): WantBook => {
+/** Creates the want registry of one agent. */
+export const createWantRegistry = (timers: TimerService): WantRegistry => {
   const entries = new Map<string, Entry>()
 
-  const settleAll = (key: string, entry: Entry, end: WantEnd): void => {
+  const settleAll = (key: string, entry: Entry, outcome: WantOutcome): void => {
     entries.delete(key)
-    for (const waiter of entry.waiters) waiter.settle(waiter.wantId, end)
+    for (const waiter of entry.waiters) waiter.settle(waiter.wantId, outcome)
   }
 
-  const expire = (key: string, entry: Entry): void => {
+  const removeExpired = (key: string, entry: Entry): void => {
     const nowMs = timers.nowMs()
     const waiters: Waiter[] = []
     for (const waiter of entry.waiters) {
@@ -67,9 +67,9 @@
     else entries.set(key, { ...entry, waiters })
   }
 
-  const keep = (isKept: (waiter: Waiter) => boolean): void => {
+  const filterWaiters = (predicate: (waiter: Waiter) => boolean): void => {
     for (const [key, entry] of [...entries]) {
-      const waiters = entry.waiters.filter(isKept)
+      const waiters = entry.waiters.filter(predicate)
       if (waiters.length === 0) entries.delete(key)
       else if (waiters.length < entry.waiters.length) entries.set(key, { ...entry, waiters })
     }
@@ -85,10 +85,10 @@
       const waiter = { router, wantId, waitingCount, lateCount, untilMs: timers.nowMs() + want.timeLeftMs, settle }
       entries.set(key, { ...entry, sinceMs: Math.min(entry.sinceMs, sinceMs), waiters: [...entry.waiters, waiter] })
     },
-    // Guards against a model that is loaded for nobody: a caller has left, or was served by another engine. The load would
-    // take the engine's time, and the room of a model that is asked for.
-    drop: (router, wantId) => { keep(waiter => waiter.router !== router || waiter.wantId !== wantId) },
-    dropRouter: router => { keep(waiter => waiter.router !== router) },
+    // Guards against a load that no request waits for, because its caller has left or another engine has served it. The load
+    // would take the engine's time, and the room of a model that is wanted.
+    drop: (router, wantId) => { filterWaiters(waiter => waiter.router !== router || waiter.wantId !== wantId) },
+    dropRouter: router => { filterWaiters(waiter => waiter.router !== router) },
     open: () => [...entries.values()].map(entry => {
       let waitingCount = 0
       let lateCount = 0
@@ -101,10 +101,10 @@
     review: isHeld => {
       for (const [key, entry] of [...entries]) {
         if (isHeld(entry.modelName, entry.adapterName)) settleAll(key, entry, { isReady: true, isLost: false, reason: 'in place' })
-        else expire(key, entry)
+        else removeExpired(key, entry)
       }
     },
-    giveUpAll: reason => {
+    failAll: reason => {
       for (const [key, entry] of [...entries]) settleAll(key, entry, { isReady: false, isLost: true, reason })
     }
   }
