--- a/packages/sidecar/src/links/compareStates.ts
+++ b/packages/sidecar/src/links/compareStates.ts
@@ -1,33 +1,33 @@
-import { LOSS_STEP, ROOM_STEP_MS } from './constants.js'
+import { EVICTION_LOSS_STEP, ROOM_STEP_MS } from './constants.js'
 
 import type { AgentState } from '@figmount/fleet'
 
 type StateFields = Omit<AgentState, 'type'>
 type FieldName = keyof StateFields
 
-/** Figures that change all the while: routers count times down by themselves, and small steps decide nothing. */
-type Figures = Pick<StateFields, 'loadingLeftMs' | 'loadingForMs' | 'coldWaitMs' | 'roomMs' | 'evictionLoss' | 'demandTokensPerS'>
+/** Fields that change all the time: routers count the times down themselves, and small steps affect no decision. */
+type VolatileFields = Pick<StateFields, 'loadingLeftMs' | 'loadingForMs' | 'coldWaitMs' | 'roomMs' | 'evictionLoss' | 'demandTokensPerS'>
 
-/** The figures of a state, which go with each message about it. */
-export const figuresOf = ({ loadingLeftMs, loadingForMs, coldWaitMs, roomMs, evictionLoss, demandTokensPerS }: AgentState): Figures =>
+/** The volatile fields of a state, which are part of each message about it. */
+export const volatileFieldsOf = ({ loadingLeftMs, loadingForMs, coldWaitMs, roomMs, evictionLoss, demandTokensPerS }: AgentState): VolatileFields =>
   ({ loadingLeftMs, loadingForMs, coldWaitMs, roomMs, evictionLoss, demandTokensPerS })
 
-/** A state without what is not worth a message. */
+/** The state without differences too small for a message. */
 const roundState = (state: AgentState): StateFields => ({
   ...state,
   loadingLeftMs: 0,
   loadingForMs: Math.sign(state.loadingForMs),
   coldWaitMs: 0,
   roomMs: Math.round(state.roomMs / ROOM_STEP_MS),
-  evictionLoss: Math.round(state.evictionLoss / LOSS_STEP),
+  evictionLoss: Math.round(state.evictionLoss / EVICTION_LOSS_STEP),
   demandTokensPerS: []
 })
 
-/** Each field as a text to compare by. */
-export const textsOf = (state: AgentState): ReadonlyMap<string, string> =>
+/** Serializes each field of the rounded state for comparison. */
+export const serializeFields = (state: AgentState): ReadonlyMap<string, string> =>
   new Map(Object.entries(roundState(state)).map(([name, value]) => [name, JSON.stringify(value)]))
 
-/** Names of the fields that differ. */
+/** Names of the fields whose values differ. */
 export const changedFields = (before: ReadonlyMap<string, string>, now: ReadonlyMap<string, string>): readonly string[] => {
   const changed: string[] = []
   for (const [name, text] of now) {
@@ -36,6 +36,6 @@
   return changed
 }
 
-/** Some fields of a state. */
+/** The named fields of a state. */
 export const pickFields = (state: AgentState, names: readonly string[]): Partial<StateFields> =>
   Object.fromEntries(names.map(name => [name, state[name as FieldName]]))
--- a/packages/sidecar/src/links/serveRouters.test.ts
+++ b/packages/sidecar/src/links/serveRouters.test.ts
@@ -14,7 +14,7 @@
 
 const nothing = (): undefined => {}
 
-/** An agent that serves its links and does nothing else; `describe` says what it tells of its engine. */
+/** Sets up an agent that only serves its links; `describe` returns the engine state that it reports. */
 const setUp = async (describe: (routerCount: number) => AgentState, describeLoad: () => AgentLoad | undefined = nothing) => {
   const timers = createTimerService()
   const instance = 'a' as InstanceName
@@ -42,7 +42,7 @@
 }
 
 describe('an agent\'s links', () => {
-  it('bring a router one copy of what several routers pass on', async () => {
+  it('send a router one copy of a record that several routers relay', async () => {
     // Guards against requests that wait behind copies on a narrow link.
     const { timers, links, open } = await setUp(() => makeStateForTest())
     const listener = await open('r0')
@@ -56,18 +56,18 @@
     expect(copyCount).to.equal(1)
   })
 
-  it('tell a new router what is taken back before the next look', async () => {
-    // Guards against a new router that never hears that an engine stays.
+  it('send a new router a change that is reverted before the next comparison', async () => {
+    // Guards against a new router that keeps a draining state although the engine no longer drains.
     let state: AgentState = makeStateForTest()
     const { timers, links, open } = await setUp(routerCount => ({ ...state, routerCount }))
-    // What is told before anybody listens is compared with later.
-    links.tell()
+    // Sets the state that later ones are compared with, before any router is linked.
+    links.sendState()
     state = { ...state, isDraining: true }
     const link = await open('r0')
     let seen: AgentState | undefined
     timers.after(100, () => {
       state = { ...state, isDraining: false }
-      links.tell()
+      links.sendState()
     })
     timers.after(300, () => link.close('the test ends'))
     for await (const message of link.received) {
@@ -78,8 +78,8 @@
     expect(seen?.isDraining).to.equal(false)
   })
 
-  it('tell a new router the load that the others know', async () => {
-    // A router is linked while the load does not change: without a word it would take a full engine for an idle one.
+  it('send a new router the load that the others have', async () => {
+    // A router links while the load does not change. Without a load message it would take a full engine for an idle one.
     const { timers, links, open } = await setUp(() => makeStateForTest(), () => ({ type: 'load', runningCount: 40, startingCount: 7 }))
     await new Promise(resolve => { timers.after(300, () => resolve(undefined)) })
     const link = await open('r0')
@@ -92,14 +92,14 @@
     expect(seen).to.deep.include({ runningCount: 40, startingCount: 7 })
   })
 
-  it('tell routers of new ones once a look, not at each link', async () => {
-    // Guards against links that cost as many messages as there are routers, when all of them start or find an agent again.
+  it('send routers a new router count once per comparison, not once per link', async () => {
+    // Guards against each new link causing a message to every router when all of them start or reconnect to an agent.
     const { timers, links, open } = await setUp(routerCount => ({ ...makeStateForTest(), routerCount }))
-    links.tell()
+    links.sendState()
     const listener = await open('r0')
     const others: Array<Link<RouterMessage, AgentMessage>> = []
     for (const router of ['r1', 'r2', 'r3', 'r4', 'r5']) others.push(await open(router))
-    timers.after(200, links.tell)
+    timers.after(200, links.sendState)
     timers.after(400, () => listener.close('the test ends'))
     const counts: number[] = []
     for await (const message of listener.received) {
--- a/packages/sidecar/src/links/serveRouters.ts
+++ b/packages/sidecar/src/links/serveRouters.ts
@@ -4,10 +4,10 @@
 import { MESSAGE_STRUCTURES } from '@figmount/fleet'
 import { acceptLinks, createMessageCodec, HEARTBEAT_MS, NO_OFFSET, packMessage } from '@figmount/peers'
 
-import { changedFields, figuresOf, pickFields, textsOf } from './compareStates.js'
+import { changedFields, volatileFieldsOf, pickFields, serializeFields } from './compareStates.js'
 import { LOAD_PERIOD_MS } from './constants.js'
-import { createPassedReads } from './createPassedReads.js'
-import { createPassedRecords } from './createPassedRecords.js'
+import { createRelayedReads } from './createRelayedReads.js'
+import { createRelayedRecords } from './createRelayedRecords.js'
 
 import type { EventLog, InstanceName, TimerService } from '@figmount/base'
 import type { AgentLoad, AgentMessage, AgentState, AgentStateChange, Demand, ListRead, Relay, RouterMessage, Want } from '@figmount/fleet'
@@ -25,10 +25,10 @@
   readonly timers: TimerService
   readonly events: EventLog
   readonly noteSent?: (type: string, byteCount: number) => void
-  /** Undefined until the agent knows anything of its engine. */
+  /** Returns undefined until the agent has had a first result from its engine. */
   readonly describe: (routerCount: number) => AgentState | undefined
   readonly describeLoad: () => AgentLoad | undefined
-  /** Another engine holds one of the models too, as far as routers have told. */
+  /** True when another engine holds one of the models too, as far as routers have reported. */
   readonly hasReplicaElsewhere: () => boolean
   readonly takeWant: (router: string, want: Want, settle: Settle) => void
   readonly dropWant: (router: string, wantId: number) => void
@@ -36,42 +36,42 @@
   readonly limiters: Limiters
   readonly takeDemand: (router: string, demand: Demand) => void
   readonly takeRelay: (relay: Relay) => void
-  /** The newest configuration, for a router that is behind. */
+  /** The newest configuration, for a router that has an older one. */
   readonly deploymentRelay: () => Relay | undefined
 }
 
-/** A state that all routers know, and its fields as texts. */
-interface ToldState {
+/** The state last sent to all routers, and its serialized fields. */
+interface SentState {
   readonly state: AgentState
   readonly texts: ReadonlyMap<string, string>
 }
 
-/** A change of the state since all routers were last told. */
-interface StateNews extends ToldState {
+/** A changed state and the message with its changes since the last state sent to all routers. */
+interface StateUpdate extends SentState {
   readonly message: AgentStateChange
 }
 
-const NO_TEXTS: ToldState['texts'] = new Map()
+const NO_TEXTS: SentState['texts'] = new Map()
 
-/** The agent's links from routers. */
+/** Links that routers have opened to the agent. */
 export interface RouterLinks {
-  /** Tells every router the state if it has changed. */
-  readonly tell: () => void
+  /** Sends every router the changes of the state, if there are any. */
+  readonly sendState: () => void
   readonly close: () => void
 }
 
-/** Listens for routers. */
+/** Listens for links from routers and serves them. */
 export const serveRouters = (options: Options): RouterLinks => {
   const { timers, events } = options
   const codec = createMessageCodec(MESSAGE_STRUCTURES)
   const links = new Set<RouterLink>()
   const lastSentMs = new Map<RouterLink, number>()
-  const passed = createPassedRecords()
-  let told: ToldState | undefined
-  let toldLoad: { readonly load: AgentLoad, readonly atMs: number } | undefined
-  const passedReads = createPassedReads(timers)
+  const relayedRecords = createRelayedRecords()
+  let sentState: SentState | undefined
+  let sentLoad: { readonly load: AgentLoad, readonly atMs: number } | undefined
+  const relayedReads = createRelayedReads(timers)
 
-  // Guards against a router that counts twice while a link of it that has gone silent is still open.
+  // Guards against counting a router twice while its earlier link, which has gone silent, is still open.
   const routerCount = (): number => new Set([...links].map(link => link.peer)).size
 
   const sendToMany = (receivers: Iterable<RouterLink>, message: AgentMessage): void => {
@@ -88,37 +88,37 @@
     sendToMany([...links].filter(link => link !== except), message)
   }
 
-  /** What is new since all routers were last told; undefined when nothing is. */
-  const describeNews = (): StateNews | undefined => {
+  /** The changes since the last state sent to all routers; undefined when there are none. */
+  const describeUpdate = (): StateUpdate | undefined => {
     const state = options.describe(routerCount())
     if (!state) return undefined
-    const texts = textsOf(state)
-    const changed = changedFields(told?.texts ?? NO_TEXTS, texts)
+    const texts = serializeFields(state)
+    const changed = changedFields(sentState?.texts ?? NO_TEXTS, texts)
     if (changed.length === 0) return undefined
-    return { state, texts, message: { type: 'stateChange', changes: { ...pickFields(state, changed), ...figuresOf(state) } } }
+    return { state, texts, message: { type: 'stateChange', changes: { ...pickFields(state, changed), ...volatileFieldsOf(state) } } }
   }
 
-  /** Tells routers that have heard nothing yet the state from which changes are told to all. */
-  const tellWhole = (receivers: Iterable<RouterLink>, state: AgentState): void => {
+  /** Sends newly linked routers the full state on which the changes sent to all routers are based. */
+  const sendFullState = (receivers: Iterable<RouterLink>, state: AgentState): void => {
     sendToMany(receivers, state)
-    if (toldLoad) sendToMany(receivers, toldLoad.load)
+    if (sentLoad) sendToMany(receivers, sentLoad.load)
   }
 
-  const tell = (): void => {
-    const news = describeNews()
-    if (!news) return
-    const isFirst = told === undefined
-    told = news
-    if (isFirst) tellWhole(links, news.state)
-    else sendToAll(news.message)
+  const sendUpdate = (): void => {
+    const update = describeUpdate()
+    if (!update) return
+    const isFirst = sentState === undefined
+    sentState = update
+    if (isFirst) sendFullState(links, update.state)
+    else sendToAll(update.message)
   }
 
-  const tellLoad = (): void => {
+  const sendLoad = (): void => {
     const load = options.describeLoad()
     if (!load) return
     const atMs = timers.nowMs()
-    if (toldLoad && !isLoadNews({ load: toldLoad.load, ageMs: atMs - toldLoad.atMs, hasReplicaElsewhere: options.hasReplicaElsewhere() }, load)) return
-    toldLoad = { load, atMs }
+    if (sentLoad && !isLoadNews({ load: sentLoad.load, ageMs: atMs - sentLoad.atMs, hasReplicaElsewhere: options.hasReplicaElsewhere() }, load)) return
+    sentLoad = { load, atMs }
     sendToAll(load)
   }
 
@@ -127,24 +127,24 @@
     const silent = [...links].filter(link => nowMs - (lastSentMs.get(link) ?? 0) >= HEARTBEAT_MS)
     const state = silent.length === 0 ? undefined : options.describe(routerCount())
     if (!state) return
-    sendToMany(silent, { type: 'stateChange', changes: figuresOf(state) })
+    sendToMany(silent, { type: 'stateChange', changes: volatileFieldsOf(state) })
   }
 
-  const settleFor = (link: RouterLink): Settle => (wantId, end) => {
-    // The state goes first: a router that hears that its model is there must know where. The others hear it at the next look.
-    const news = describeNews()
-    if (news) sendTo(link, news.message)
-    sendTo(link, { type: 'wantSettled', wantId, ...end })
+  const settleFor = (link: RouterLink): Settle => (wantId, outcome) => {
+    // The state is sent first: a router whose want is met must see which engine holds the model. Others get it at the next comparison.
+    const update = describeUpdate()
+    if (update) sendTo(link, update.message)
+    sendTo(link, { type: 'wantSettled', wantId, ...outcome })
   }
 
-  const passOn = (link: RouterLink, relay: Relay): void => {
+  const forwardRelay = (link: RouterLink, relay: Relay): void => {
     options.takeRelay(relay)
-    const fresh = passed.takeNew(relay)
-    if (fresh) sendToAll(fresh, link)
+    const newRecords = relayedRecords.takeNew(relay)
+    if (newRecords) sendToAll(newRecords, link)
   }
 
-  const passOnList = (link: RouterLink, read: ListRead): void => {
-    if (passedReads.isNew(read)) sendToAll(read, link)
+  const forwardListRead = (link: RouterLink, read: ListRead): void => {
+    if (relayedReads.isNew(read)) sendToAll(read, link)
   }
 
   const sendDeployment = (link: RouterLink): void => {
@@ -157,8 +157,8 @@
       .with({ type: 'want' }, want => { options.takeWant(link.peer, want, settleFor(link)) })
       .with({ type: 'wantDropped' }, ({ wantId }) => { options.dropWant(link.peer, wantId) })
       .with({ type: 'demand' }, demand => { options.takeDemand(link.peer, demand) })
-      .with({ type: 'relay' }, relay => { passOn(link, relay) })
-      .with({ type: 'listRead' }, read => { passOnList(link, read) })
+      .with({ type: 'relay' }, relay => { forwardRelay(link, relay) })
+      .with({ type: 'listRead' }, read => { forwardListRead(link, read) })
       .with({ type: 'deploymentAsked' }, () => { sendDeployment(link) })
       .with({ type: 'limiterChosen' }, chosen => { options.limiters.choose(link.peer, chosen) })
       .with({ type: 'unitsAsked' }, asked => { sendTo(link, options.limiters.ask(link.peer, asked)) })
@@ -177,11 +177,11 @@
 
   const runLink = async (link: RouterLink): Promise<void> => {
     links.add(link)
-    // Guards against a router that starts from a state which the others were never told: what is taken back before the next
-    // look would be no change to them, and this one would keep it. All begin from the same state.
-    const now = options.describe(routerCount())
-    if (told && now) tellWhole([link], { ...told.state, ...figuresOf(now) })
-    else tell()
+    // Guards against a new router that starts from a state which the others never received: a change reverted before the next
+    // comparison would not be sent, and the new router would keep it. So all routers start from the same state.
+    const currentState = options.describe(routerCount())
+    if (sentState && currentState) sendFullState([link], { ...sentState.state, ...volatileFieldsOf(currentState) })
+    else sendUpdate()
     try {
       for await (const message of link.received) take(link, message)
     } finally {
@@ -203,11 +203,11 @@
     ...(options.noteSent ? { noteSent: options.noteSent } : {})
   }, runLink)
   server.listen(options.port, options.host)
-  const stopLoad = timers.every(LOAD_PERIOD_MS, tellLoad)
+  const stopLoad = timers.every(LOAD_PERIOD_MS, sendLoad)
   const stopKeepAlive = timers.every(HEARTBEAT_MS / 2, keepAlive)
 
   return {
-    tell,
+    sendState: sendUpdate,
     close: () => {
       stopLoad()
       stopKeepAlive()
--- a/packages/sidecar/src/sidecar/startSidecar.ts
+++ b/packages/sidecar/src/sidecar/startSidecar.ts
@@ -5,7 +5,7 @@
 import { hasRestarted } from '../engine/hasRestarted.js'
 import { watchEngine } from '../engine/watchEngine.js'
 import { SidecarEvent } from '../events.js'
-import { TELL_PERIOD_MS } from '../links/constants.js'
+import { STATE_PERIOD_MS } from '../links/constants.js'
 import { serveRouters } from '../links/serveRouters.js'
 import { createLimiters } from '../limits/createLimiters.js'
 import { createWantRegistry } from '../wants/createWantRegistry.js'
@@ -64,7 +64,7 @@
     timers,
     events,
     healthPath: () => service()?.healthPath,
-    changed: () => { links.tell() }
+    changed: () => { links.sendState() }
   })
 
   const orderer = createOrderer({
@@ -78,7 +78,7 @@
     noteOtherServer: () => { identity.drop('an order was turned away') },
     coldSpacingMs: COLD_SPACING_MS,
     isFirstStart: options.isFirstStart,
-    changed: () => { links.tell() },
+    changed: () => { links.sendState() },
     pollNow: () => { watch.pollNow() }
   })
 
@@ -95,13 +95,13 @@
 
   const advance = (): void => {
     reviewOrders()
-    links.tell()
+    links.sendState()
     advancedMs = timers.nowMs()
   }
 
   // Reports come about as often while the engine answers.
   const advanceIfSilent = (): void => {
-    if (timers.nowMs() - advancedMs >= TELL_PERIOD_MS / 2) advance()
+    if (timers.nowMs() - advancedMs >= STATE_PERIOD_MS / 2) advance()
   }
 
   // Guards against a restart between two reports: under the same id, and with as many orders taken, the engine looks as before,
@@ -111,7 +111,7 @@
     orderer.noteRestart()
     identity.drop(RESTARTED)
     wants.failAll(RESTARTED)
-    links.tell()
+    links.sendState()
   }
 
   const takeReport = (report: ServerReport): void => {
@@ -133,7 +133,7 @@
     identity.drop(reason)
     orderer.reset()
     wants.failAll('engine is down')
-    links.tell()
+    links.sendState()
   }
 
   const isGone = (serverId: string): boolean =>
@@ -192,7 +192,7 @@
     take: takeReport,
     down: fault => { noteDown(fault.message) }
   })
-  const stopTelling = timers.every(TELL_PERIOD_MS, advanceIfSilent)
+  const stopTelling = timers.every(STATE_PERIOD_MS, advanceIfSilent)
 
   return {
     address: `${options.host}:${options.port}`,
