--- a/packages/sidecar/src/engine/createLostOrders.ts
+++ b/packages/sidecar/src/engine/createLostOrders.ts
@@ -20,7 +20,7 @@
 
 /** Orders that got no answer. An engine may carry them out seconds later. */
 export interface LostOrders {
-  readonly add: (serverId: string, order: Order, isOfBefore: boolean) => void
+  readonly add: (serverId: string, order: Order, isOfEarlierStart: boolean) => void
   /** The engine has restarted: its order count begins again, and may reach the count that an earlier order expects. */
   readonly noteRestart: () => void
   readonly reserve: (serverId: string, report: ServerReport, spec: EngineSpec) => ReservedRoom
@@ -49,11 +49,11 @@
   }
 
   return {
-    add: (serverId, order, isOfBefore) => {
+    add: (serverId, order, isOfEarlierStart) => {
       removeExpired()
-      lost = [...lost, { order, serverId, sentMs: timers.nowMs(), isOfEarlierStart: isOfBefore }]
+      lost = [...lost, { order, serverId, sentMs: timers.nowMs(), isOfEarlierStart }]
     },
-    noteRestart: () => { lost = lost.map(known => ({ ...known, isOfBefore: true })) },
+    noteRestart: () => { lost = lost.map(known => ({ ...known, isOfEarlierStart: true })) },
     reserve: (serverId, report, spec) => {
       removeExpired()
       const modelsMb = new Map<string, number>()
--- a/packages/sidecar/src/engine/createOrderer.ts
+++ b/packages/sidecar/src/engine/createOrderer.ts
@@ -198,7 +198,7 @@
     return isIdle() ? IDLE_POLL_MS : POLL_MS
   }
 
-  const forget = (): void => {
+  const reset = (): void => {
     report = undefined
     load = undefined
     modelDrain.reset()
@@ -213,12 +213,12 @@
     },
     review,
     report: () => report,
-    reset: forget,
+    reset,
     noteRestart: () => {
       startNumber += 1
       unansweredLoad = undefined
       lostOrders.noteRestart()
-      forget()
+      reset()
     },
     leavingModels: modelDrain.names,
     currentLoad: () => load,
--- a/packages/sidecar/src/engine/viewEngine.ts
+++ b/packages/sidecar/src/engine/viewEngine.ts
@@ -93,9 +93,9 @@
 }
 
 /** Memory for the model that is being loaded and not yet listed as held. */
-const loadingMb = ({ spec, report, loadingModel: comingModel }: EngineInputs): number => {
-  if (report.models.some(model => model.name === comingModel)) return 0
-  return modelSpecsOf(spec).get(comingModel)?.weightsMb ?? 0
+const loadingMb = ({ spec, report, loadingModel: modelName }: EngineInputs): number => {
+  if (report.models.some(model => model.name === modelName)) return 0
+  return modelSpecsOf(spec).get(modelName)?.weightsMb ?? 0
 }
 
 const viewAdapters = ({ report, demand }: EngineInputs): readonly ResidentAdapter[] =>
--- a/packages/sidecar/src/links/serveRouters.test.ts
+++ b/packages/sidecar/src/links/serveRouters.test.ts
@@ -61,13 +61,13 @@
     let state: AgentState = makeStateForTest()
     const { timers, links, open } = await setUp(routerCount => ({ ...state, routerCount }))
     // Sets the state that later ones are compared with, before any router is linked.
-    links.sendState()
+    links.sendUpdate()
     state = { ...state, isDraining: true }
     const link = await open('r0')
     let seen: AgentState | undefined
     timers.after(100, () => {
       state = { ...state, isDraining: false }
-      links.sendState()
+      links.sendUpdate()
     })
     timers.after(300, () => link.close('the test ends'))
     for await (const message of link.received) {
@@ -95,11 +95,11 @@
   it('send routers a new router count once per comparison, not once per link', async () => {
     // Guards against each new link causing a message to every router when all of them start or reconnect to an agent.
     const { timers, links, open } = await setUp(routerCount => ({ ...makeStateForTest(), routerCount }))
-    links.sendState()
+    links.sendUpdate()
     const listener = await open('r0')
     const others: Array<Link<RouterMessage, AgentMessage>> = []
     for (const router of ['r1', 'r2', 'r3', 'r4', 'r5']) others.push(await open(router))
-    timers.after(200, links.sendState)
+    timers.after(200, links.sendUpdate)
     timers.after(400, () => listener.close('the test ends'))
     const counts: number[] = []
     for await (const message of listener.received) {
--- a/packages/sidecar/src/links/serveRouters.ts
+++ b/packages/sidecar/src/links/serveRouters.ts
@@ -56,7 +56,7 @@
 /** Links that routers have opened to the agent. */
 export interface RouterLinks {
   /** Sends every router the changes of the state, if there are any. */
-  readonly sendState: () => void
+  readonly sendUpdate: () => void
   readonly close: () => void
 }
 
@@ -207,7 +207,7 @@
   const stopKeepAlive = timers.every(HEARTBEAT_MS / 2, keepAlive)
 
   return {
-    sendState: sendUpdate,
+    sendUpdate,
     close: () => {
       stopLoad()
       stopKeepAlive()
--- a/packages/sidecar/src/sidecar/createIdentity.test.ts
+++ b/packages/sidecar/src/sidecar/createIdentity.test.ts
@@ -2,7 +2,7 @@
 import { EitherAsync } from 'purify-ts'
 import { createEventLog, createVirtualTimers } from '@figmount/base'
 
-import { ASK_PERIOD_MS } from './constants.js'
+import { ID_QUERY_PERIOD_MS } from './constants.js'
 import { createIdentity } from './createIdentity.js'
 
 import type { InstanceName } from '@figmount/base'
@@ -23,7 +23,7 @@
     healthPath: () => '/health',
     changed: () => {}
   })
-  /** The engine answers the question that was put as the n-th. */
+  /** Answers the id query with this index. */
   const answer = async (index: number, serverId: string): Promise<void> => {
     await settle()
     answers[index]?.(serverId)
@@ -32,49 +32,49 @@
   return { timers, identity, answer }
 }
 
-describe('identity', () => {
-  it('asks once and keeps the id with the time of the start', async () => {
+describe('createIdentity', () => {
+  it('queries the id once and keeps it with the start time', async () => {
     const { identity, answer } = setUp()
-    identity.learn(1_000)
-    identity.learn(1_000)
+    identity.identify(1_000)
+    identity.identify(1_000)
     await answer(0, 'i-1')
     expect(identity.current()).to.deep.equal({ serverId: 'i-1', startedAtUnixMs: 1_000 })
   })
 
-  it('names an engine again that is back under its id', async () => {
+  it('identifies an engine that has restarted under the same id', async () => {
     // Guards against an engine that gets no orders after a restart.
     const { identity, answer } = setUp()
-    identity.learn(1_000)
+    identity.identify(1_000)
     await answer(0, 'i-1')
     identity.drop('the engine has restarted')
     expect(identity.current().serverId).to.equal('')
     expect(identity.gone()).to.deep.equal([{ serverId: 'i-1', startedAtUnixMs: 1_000 }])
-    identity.learn(2_000)
+    identity.identify(2_000)
     await answer(1, 'i-1')
     expect(identity.current()).to.deep.equal({ serverId: 'i-1', startedAtUnixMs: 2_000 })
     expect(identity.gone()).to.deep.equal([{ serverId: 'i-1', startedAtUnixMs: 1_000 }])
   })
 
-  it('names an engine again that was silent and has not restarted', async () => {
+  it('identifies an engine again that did not answer for a while and has not restarted', async () => {
     const { identity, answer } = setUp()
-    identity.learn(1_000)
+    identity.identify(1_000)
     await answer(0, 'i-1')
     identity.drop('no answer')
-    identity.learn(1_000)
+    identity.identify(1_000)
     await answer(1, 'i-1')
     expect(identity.current()).to.deep.equal({ serverId: 'i-1', startedAtUnixMs: 1_000 })
     expect(identity.gone()).to.deep.equal([])
   })
 
-  it('takes no answer to a question from before the restart', async () => {
+  it('ignores the answer to a query from before the restart', async () => {
     const { timers, identity, answer } = setUp()
-    identity.learn(1_000)
+    identity.identify(1_000)
     await answer(0, 'i-1')
     identity.drop('no answer')
-    identity.learn(1_000)
+    identity.identify(1_000)
     identity.drop('the engine has restarted')
-    timers.advance(ASK_PERIOD_MS)
-    identity.learn(2_000)
+    timers.advance(ID_QUERY_PERIOD_MS)
+    identity.identify(2_000)
     await answer(1, 'i-1')
     expect(identity.current().serverId).to.equal('')
     await answer(2, 'i-2')
--- a/packages/sidecar/src/sidecar/describeEngine.ts
+++ b/packages/sidecar/src/sidecar/describeEngine.ts
@@ -10,8 +10,8 @@
 import type { WantRegistry } from '../wants/createWantRegistry.js'
 import type { Identity } from './createIdentity.js'
 
-/** All that an agent tells routers of its engine. */
-export interface DescribedEngine {
+/** The parts of an agent that the state sent to routers is built from. */
+export interface EngineContext {
   readonly timers: TimerService
   readonly spec: EngineSpec | undefined
   readonly isUp: boolean
@@ -23,26 +23,26 @@
   readonly routerCount: number
 }
 
-type RoomPrice = Pick<AgentState, 'roomMs' | 'evictionLoss'>
+type EvictionCost = Pick<AgentState, 'roomMs' | 'evictionLoss'>
 
 const NOTHING_RESERVED: ReservedRoom = { modelsMb: new Map(), adapterKeys: new Set() }
 
-const NO_PRICE: RoomPrice = { roomMs: 0, evictionLoss: 0 }
+const NO_EVICTION_COST: EvictionCost = { roomMs: 0, evictionLoss: 0 }
 
-/** What another model's load would cost here. */
-const priceRoom = ({ timers, spec, orderer, demand }: DescribedEngine, report: ServerReport): RoomPrice => {
-  if (!spec || report.models.length === 0) return NO_PRICE
+/** Estimates the cost of evicting a held model to load another one. */
+const estimateEvictionCost = ({ timers, spec, orderer, demand }: EngineContext, report: ServerReport): EvictionCost => {
+  if (!spec || report.models.length === 0) return NO_EVICTION_COST
   const residents = viewResidents({
     spec, report, demand, wants: [], mayLoadCold: true, loadingModel: '', unansweredLoad: '', reserve: NOTHING_RESERVED, nowMs: timers.nowMs(), heldSinceMs: orderer.heldSinceMs()
   })
   const largestMb = Math.max(0, ...spec.models.map(model => model.weightsMb))
-  const leaving = residents.find(resident => orderer.leavingModels().includes(resident.modelName))
-  const roomMs = leaving ? unloadMsOf(leaving) : estimateRoomMs(residents, largestMb - freeMbOf(spec, report))
-  if (roomMs === 0) return NO_PRICE
+  const leavingModel = residents.find(resident => orderer.leavingModels().includes(resident.modelName))
+  const roomMs = leavingModel ? unloadMsOf(leavingModel) : estimateRoomMs(residents, largestMb - freeMbOf(spec, report))
+  if (roomMs === 0) return NO_EVICTION_COST
   return { roomMs: Math.round(roomMs), evictionLoss: Math.round(Math.min(...residents.map(evictionLossOf)) * 100) / 100 }
 }
 
-const describeLoading = ({ timers, orderer }: DescribedEngine): Pick<AgentState, 'loadingModel' | 'isLoadingCold' | 'loadingLeftMs' | 'loadingForMs'> => {
+const describeLoading = ({ timers, orderer }: EngineContext): Pick<AgentState, 'loadingModel' | 'isLoadingCold' | 'loadingLeftMs' | 'loadingForMs'> => {
   const load = orderer.currentLoad()
   if (!load) return { loadingModel: '', isLoadingCold: false, loadingLeftMs: 0, loadingForMs: 0 }
   const nowMs = timers.nowMs()
@@ -54,8 +54,8 @@
   }
 }
 
-/** What an engine holds and does, for routers. */
-export const describeEngine = (engine: DescribedEngine): AgentState => {
+/** Builds the engine state that is sent to routers. */
+export const describeEngine = (engine: EngineContext): AgentState => {
   const { identity, orderer, demand, wants } = engine
   const report = orderer.report()
   const models = report?.models ?? []
@@ -72,14 +72,14 @@
     queuedModels: wants.open().filter(want => want.adapterName === '').map(want => want.modelName),
     inMemory: report?.inMemory ?? [],
     onDisk: report?.onDisk ?? [],
-    ...(report ? priceRoom(engine, report) : NO_PRICE),
+    ...(report ? estimateEvictionCost(engine, report) : NO_EVICTION_COST),
     demandTokensPerS: models.map(model => Math.round(demand.totalFor(model.name).promptTokensPerS)),
     routerCount: engine.routerCount,
     deploymentOffset: engine.deploymentOffset
   }
 }
 
-/** How many requests an engine runs, for routers; undefined while it does not answer. */
+/** Builds the load message for routers; undefined while the engine does not answer. */
 export const describeEngineLoad = (orderer: Orderer): AgentLoad | undefined => {
   const report = orderer.report()
   return report && { type: 'load', runningCount: report.runningCount, startingCount: report.startingCount }
--- a/packages/sidecar/src/sidecar/followDeployment.test.ts
+++ b/packages/sidecar/src/sidecar/followDeployment.test.ts
@@ -12,7 +12,7 @@
 
 const away: Either<Fault, FeedPage> = Left(makeFault('unavailable', 'read', 'store', 'no answer'))
 
-/** An agent that the store turns away. */
+/** Sets up an agent that cannot read the store. */
 const setUp = () => {
   const timers = createVirtualTimers()
   const read = () => EitherAsync.liftEither(away)
@@ -25,30 +25,30 @@
   return followDeployment({ store, timers, events })
 }
 
-describe('the configuration of an agent', () => {
-  it('comes from routers while the store turns the agent away', () => {
-    const followed = setUp()
-    followed.takeRelay({ type: 'relay', feedName: 'op', records: [record(7, 4)] })
-    expect(followed.current()?.version).to.equal(7)
-    expect(followed.offset()).to.equal(4)
-    followed.stop()
+describe('followDeployment', () => {
+  it('applies a configuration relayed by a router while the store is unavailable', () => {
+    const deployment = setUp()
+    deployment.takeRelay({ type: 'relay', feedName: 'op', records: [record(7, 4)] })
+    expect(deployment.current()?.version).to.equal(7)
+    expect(deployment.offset()).to.equal(4)
+    deployment.stop()
   })
 
-  it('never goes back to an older one', () => {
-    const followed = setUp()
-    followed.takeRelay({ type: 'relay', feedName: 'op', records: [record(7, 4)] })
-    followed.takeRelay({ type: 'relay', feedName: 'op', records: [record(6, 3)] })
-    expect(followed.current()?.version).to.equal(7)
-    followed.stop()
+  it('ignores a configuration older than the current one', () => {
+    const deployment = setUp()
+    deployment.takeRelay({ type: 'relay', feedName: 'op', records: [record(7, 4)] })
+    deployment.takeRelay({ type: 'relay', feedName: 'op', records: [record(6, 3)] })
+    expect(deployment.current()?.version).to.equal(7)
+    deployment.stop()
   })
 
-  it('is passed on as it was read, and only once there is one', () => {
-    const followed = setUp()
-    expect(followed.relay()).to.equal(undefined)
-    followed.takeRelay({ type: 'relay', feedName: 'other', records: [record(8, 9)] })
-    expect(followed.relay()).to.equal(undefined)
-    followed.takeRelay({ type: 'relay', feedName: 'op', records: [record(7, 4)] })
-    expect(followed.relay()?.records).to.deep.equal([record(7, 4)])
-    followed.stop()
+  it('relays the configuration record unchanged, and none before one was received', () => {
+    const deployment = setUp()
+    expect(deployment.relay()).to.equal(undefined)
+    deployment.takeRelay({ type: 'relay', feedName: 'other', records: [record(8, 9)] })
+    expect(deployment.relay()).to.equal(undefined)
+    deployment.takeRelay({ type: 'relay', feedName: 'op', records: [record(7, 4)] })
+    expect(deployment.relay()?.records).to.deep.equal([record(7, 4)])
+    deployment.stop()
   })
 })
--- a/packages/sidecar/src/sidecar/followDeployment.ts
+++ b/packages/sidecar/src/sidecar/followDeployment.ts
@@ -11,19 +11,19 @@
   readonly events: EventLog
 }
 
-/** The configuration as one agent knows it. */
+/** The newest configuration that one agent has received. */
 export interface FollowedDeployment {
   readonly current: () => Deployment | undefined
   /** Offset of the newest configuration; -1 for none. */
   readonly offset: () => number
-  /** Takes in what a router has read. */
+  /** Applies records that a router has read. */
   readonly takeRelay: (relay: Relay) => void
-  /** The newest configuration as a router would pass it on. */
+  /** The newest configuration as a relay message. */
   readonly relay: () => Relay | undefined
   readonly stop: () => void
 }
 
-/** Follows the configuration, by the store and by what routers pass on. */
+/** Follows the configuration by reading the store and by records that routers relay. */
 export const followDeployment = ({ store, timers, events }: Options): FollowedDeployment => {
   const feed = store.deploymentFeed
   const newest = createNewestDeployment({
--- a/packages/sidecar/src/sidecar/startSidecar.test.ts
+++ b/packages/sidecar/src/sidecar/startSidecar.test.ts
@@ -21,7 +21,7 @@
   let agent: RunningProcess
   afterEach(async () => { await agent.stop() })
 
-  /** The state that a router hears first; the engine's first report comes when `answer` is called. */
+  /** Links a router and returns a reader of its first state message. The engine's first report comes when `answer` is called. */
   const setUp = async () => {
     const timers = createTimerService()
     const instance = 'a' as InstanceName
@@ -53,7 +53,7 @@
     const link = (await openLink<RouterMessage, AgentMessage>(`127.0.0.1:${port}`, context).run()).unsafeCoerce()
     timers.after(300, () => { answer(Right(REPORT)) })
     timers.after(2_000, () => link.close('the test ends'))
-    const hearFirst = async (): Promise<AgentMessage | undefined> => {
+    const readFirstState = async (): Promise<AgentMessage | undefined> => {
       for await (const message of link.received) {
         if (message.type !== 'state') continue
         link.close('heard')
@@ -61,18 +61,18 @@
       }
       return undefined
     }
-    return { answer, hearFirst }
+    return { answer, readFirstState }
   }
 
-  it('says nothing of its engine before the engine has answered', async () => {
-    // Guards against streams that routers cut at an engine that lives, and count as crashes.
-    const { hearFirst } = await setUp()
-    expect(await hearFirst()).to.deep.include({ type: 'state', isUp: true })
+  it('reports no engine state before the engine has answered', async () => {
+    // Guards against routers that cut streams at a running engine and count them as crashes.
+    const { readFirstState } = await setUp()
+    expect(await readFirstState()).to.deep.include({ type: 'state', isUp: true })
   })
 
-  it('tells that its engine is down once that is known', async () => {
-    const { answer, hearFirst } = await setUp()
+  it('reports its engine as down after a failed report', async () => {
+    const { answer, readFirstState } = await setUp()
     answer(Left(makeFault('unavailable', 'engine.report', 'e', 'refused')))
-    expect(await hearFirst()).to.deep.include({ type: 'state', isUp: false })
+    expect(await readFirstState()).to.deep.include({ type: 'state', isUp: false })
   })
 })
--- a/packages/sidecar/src/sidecar/startSidecar.ts
+++ b/packages/sidecar/src/sidecar/startSidecar.ts
@@ -19,12 +19,12 @@
 import type { AgentState, EnginePort, Organisations, Service, ServerReport, StorePort, Want } from '@figmount/fleet'
 import type { Settle } from '../wants/createWantRegistry.js'
 
-/** What an agent on the HTTP path is started with. */
+/** Options of an agent on the HTTP path. */
 export interface SidecarOptions {
   readonly context: ProcessContext<unknown>
   readonly instance: InstanceName
   readonly host: string
-  /** Where routers reach the agent. */
+  /** Port on which the agent accepts links from routers. */
   readonly port: number
   readonly sharedKey: string
   /** Service of the engine beside the agent. */
@@ -41,7 +41,7 @@
 
 const RESTARTED = 'the engine has restarted'
 
-/** Starts an agent: it watches one engine, orders its models, and tells routers what it holds. */
+/** Starts an agent: it polls one engine, orders loads and unloads, and sends the engine's state to routers. */
 export const startSidecar = async (options: SidecarOptions): Promise<RunningProcess> => {
   const { timers, events, metrics } = options.context
   const demand = createDemandTotals(timers)
@@ -53,8 +53,8 @@
     isFirstStart: options.isFirstStart
   })
   let isUp = false
-  let isEngineKnown = false
-  let advancedMs = -Infinity
+  let hasEngineResult = false
+  let lastReviewMs = -Infinity
   let lastReport: ServerReport | undefined
 
   const service = (): Service | undefined => deployments.current()?.services.find(({ name }) => name === options.serviceName)
@@ -64,7 +64,7 @@
     timers,
     events,
     healthPath: () => service()?.healthPath,
-    changed: () => { links.sendState() }
+    changed: () => { links.sendUpdate() }
   })
 
   const orderer = createOrderer({
@@ -78,7 +78,7 @@
     noteOtherServer: () => { identity.drop('an order was turned away') },
     coldSpacingMs: COLD_SPACING_MS,
     isFirstStart: options.isFirstStart,
-    changed: () => { links.sendState() },
+    changed: () => { links.sendUpdate() },
     pollNow: () => { watch.pollNow() }
   })
 
@@ -93,25 +93,25 @@
     orderer.review()
   }
 
-  const advance = (): void => {
+  const reviewAndSendState = (): void => {
     reviewOrders()
-    links.sendState()
-    advancedMs = timers.nowMs()
+    links.sendUpdate()
+    lastReviewMs = timers.nowMs()
   }
 
-  // Reports come about as often while the engine answers.
-  const advanceIfSilent = (): void => {
-    if (timers.nowMs() - advancedMs >= STATE_PERIOD_MS / 2) advance()
+  // While the engine answers, its reports arrive about as often as this timer fires.
+  const reviewIfOverdue = (): void => {
+    if (timers.nowMs() - lastReviewMs >= STATE_PERIOD_MS / 2) reviewAndSendState()
   }
 
-  // Guards against a restart between two reports: under the same id, and with as many orders taken, the engine looks as before,
-  // and what it held and was doing would count on.
+  // Guards against a restart between two reports: under the same id and with the same order count the engine looks unchanged,
+  // and the agent would go on to report the models and the load of the earlier start.
   const noteRestart = (): void => {
     events.emit(SidecarEvent.engineRestarted, { peer: identity.current().serverId })
     orderer.noteRestart()
     identity.drop(RESTARTED)
     wants.failAll(RESTARTED)
-    links.sendState()
+    links.sendUpdate()
   }
 
   const takeReport = (report: ServerReport): void => {
@@ -120,20 +120,20 @@
     if (!isUp) events.emit(SidecarEvent.engineUp, { peer: identity.current().serverId })
     if (report.isDraining && !orderer.report()?.isDraining) events.emit(SidecarEvent.engineDraining, { peer: identity.current().serverId })
     isUp = true
-    isEngineKnown = true
-    identity.learn(report.startedAtUnixMs)
+    hasEngineResult = true
+    identity.identify(report.startedAtUnixMs)
     orderer.take(report)
-    advance()
+    reviewAndSendState()
   }
 
   const noteDown = (reason: string): void => {
     if (isUp) events.emit(SidecarEvent.engineDown, { peer: identity.current().serverId, reason })
     isUp = false
-    isEngineKnown = true
+    hasEngineResult = true
     identity.drop(reason)
     orderer.reset()
     wants.failAll('engine is down')
-    links.sendState()
+    links.sendUpdate()
   }
 
   const isGone = (serverId: string): boolean =>
@@ -145,18 +145,18 @@
     if (isGone(want.serverId)) return settle(want.wantId, { isReady: false, isLost: true, reason: RESTARTED })
     if (!isUp) return settle(want.wantId, { isReady: false, isLost: true, reason: 'engine is down' })
     const takenMs = timers.nowMs()
-    wants.add(router, want, (wantId, end) => {
-      const kind = end.isReady ? SidecarEvent.wantMet : SidecarEvent.wantGivenUp
-      events.emit(kind, { peer: router, model: want.modelName, adapter: want.adapterName ?? '', reason: end.reason, waitMs: Math.round(timers.nowMs() - takenMs) })
-      settle(wantId, end)
+    wants.add(router, want, (wantId, outcome) => {
+      const kind = outcome.isReady ? SidecarEvent.wantMet : SidecarEvent.wantGivenUp
+      events.emit(kind, { peer: router, model: want.modelName, adapter: want.adapterName ?? '', reason: outcome.reason, waitMs: Math.round(timers.nowMs() - takenMs) })
+      settle(wantId, outcome)
     })
-    // Routers hear of the want at the next look, and of a load that begins for it at once.
+    // Routers see the want in the next state update, and a load that begins for it at once.
     reviewOrders()
   }
 
-  // Guards against a word that is not true: an agent that has just started again would say that its engine is down, and routers
-  // would cut the streams that run there.
-  const describeKnown = (routerCount: number): AgentState | undefined => isEngineKnown
+  // Guards against a wrong state: an agent that has just restarted would report its engine as down, and routers would cut the
+  // streams that run there.
+  const describeIfKnown = (routerCount: number): AgentState | undefined => hasEngineResult
     ? describeEngine({ timers, spec: service()?.engine, isUp, identity, orderer, demand, wants, deploymentOffset: deployments.offset(), routerCount })
     : undefined
 
@@ -168,7 +168,7 @@
     timers,
     events,
     noteSent: countMessages(metrics),
-    describe: describeKnown,
+    describe: describeIfKnown,
     describeLoad: () => describeEngineLoad(orderer),
     hasReplicaElsewhere: () => orderer.report()?.models.some(({ name }) => demand.replicaCount(name) > 1) ?? false,
     takeWant,
@@ -192,12 +192,12 @@
     take: takeReport,
     down: fault => { noteDown(fault.message) }
   })
-  const stopTelling = timers.every(STATE_PERIOD_MS, advanceIfSilent)
+  const stopReviewTimer = timers.every(STATE_PERIOD_MS, reviewIfOverdue)
 
   return {
     address: `${options.host}:${options.port}`,
     stop: async () => {
-      stopTelling()
+      stopReviewTimer()
       watch.stop()
       deployments.stop()
       wants.failAll('the agent stops')
