--- a/packages/fleet/src/deployment/createNewestDeployment.ts
+++ b/packages/fleet/src/deployment/createNewestDeployment.ts
@@ -9,22 +9,22 @@
   readonly refused: (fault: Fault, record: FeedRecord) => void
 }
 
-/** The configuration in force in one process. */
+/** The newest configuration that a process has decoded. */
 export interface NewestDeployment {
   readonly take: (records: readonly FeedRecord[]) => void
   readonly current: () => Deployment | undefined
-  /** The record that holds it. */
+  /** The record that contains the current configuration. */
   readonly record: () => FeedRecord | undefined
   /** Offset of that record; -1 for none. */
   readonly offset: () => number
 }
 
-/** Keeps the newest configuration; an older one never replaces it, whichever way it comes. */
+/** Keeps the newest configuration. An older version never replaces it, whether it comes from the store or from a peer. */
 export const createNewestDeployment = ({ store, taken, refused }: Options): NewestDeployment => {
   let current: Deployment | undefined
   let newest: FeedRecord | undefined
 
-  const takeOne = (record: FeedRecord): void => {
+  const applyRecord = (record: FeedRecord): void => {
     if (!record.value || !store.isDeploymentKey(record.key)) return
     store.decodeDeployment(record.key, record.value).caseOf({
       Left: fault => { refused(fault, record) },
@@ -38,7 +38,7 @@
   }
 
   return {
-    take: records => { for (const record of records) takeOne(record) },
+    take: records => { for (const record of records) applyRecord(record) },
     current: () => current,
     record: () => newest,
     offset: () => newest?.offset ?? -1
--- a/packages/fleet/src/deployment/matchRoute.ts
+++ b/packages/fleet/src/deployment/matchRoute.ts
@@ -1,12 +1,12 @@
 import type { Route } from './types.js'
 
-/** A host header's name without port, in lower case. */
+/** Host name of a `Host` header, without the port and in lower case. */
 export const hostNameOf = (hostHeader: string): string => {
   const [name = ''] = hostHeader.split(':')
   return name.toLowerCase()
 }
 
-/** The route of the host with the longest prefix of the path; the path's query is ignored. */
+/** Finds the host's route with the longest matching path prefix. The query is ignored. */
 export const matchRoute = (routes: readonly Route[], hostHeader: string, url: string): Route | undefined => {
   const host = hostNameOf(hostHeader)
   const [path = ''] = url.split('?')
--- a/packages/fleet/src/deployment/types.ts
+++ b/packages/fleet/src/deployment/types.ts
@@ -1,8 +1,8 @@
-/** What may be done with a request whose outcome is unknown. */
+/** How a request may be retried when its outcome is unknown. */
 export const RequestKind = {
   /** May run any number of times. */
   Idempotent: 'idempotent',
-  /** May run once for each attempt of its caller. */
+  /** May run once per attempt of its caller. */
   AtMostOnce: 'at_most_once',
   /** A stream of numbered events. */
   Stream: 'stream'
@@ -10,13 +10,13 @@
 
 export type RequestKind = typeof RequestKind[keyof typeof RequestKind]
 
-/** One of the services that share a route's requests. */
+/** A service's share of a route's requests. */
 export interface ServiceShare {
   readonly serviceName: string
   readonly weight: number
 }
 
-/** Where requests of one host and path go, and within which bounds. */
+/** The services that requests of one host and path prefix are sent to, and the bounds of these requests. */
 export interface Route {
   readonly name: string
   /** In lower case, without a port. */
@@ -24,44 +24,44 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string
   readonly kind: RequestKind
-  /** A request has its final answer within this time of its arrival. */
+  /** Time from a request's arrival within which it gets its final answer. */
   readonly timeoutMs: number
-  /** Time to the answer, or to a stream's first event, that callers are content with. */
+  /** Target time to the answer, or to a stream's first event. */
   readonly objectiveMs: number
-  /** Callers leave a stream that shows no event for this long; the time-out for what is no stream. */
+  /** Callers abandon a stream without an event for this long; equals the time-out for other requests. */
   readonly patienceMs: number
-  /** Rank among routes, 0 the most urgent. */
+  /** Priority among routes; 0 is the most urgent. */
   readonly priority: number
   readonly shares: readonly ServiceShare[]
-  /** Backend servers on which one request may run. */
+  /** Most backend servers on which one request may be tried. */
   readonly maxAttempts: number
   readonly isResumable: boolean
   /** Callers need no key. */
   readonly isPublic: boolean
 }
 
-/** A model of a service's engines. */
+/** A model that a service's engines can load. */
 export interface ModelSpec {
   readonly name: string
   readonly weightsMb: number
-  /** Load from the weight store, alone. */
+  /** Duration of a load from the weight store without concurrent loads. */
   readonly coldLoadMs: number
-  /** Load from the backend server's own disk. */
+  /** Duration of a load from the backend server's own disk. */
   readonly diskLoadMs: number
-  /** Load from the backend server's own memory. */
+  /** Duration of a load from the backend server's own memory. */
   readonly memoryLoadMs: number
   readonly adapterMb: number
 }
 
-/** What every engine of a service has. */
+/** Properties shared by all engines of a service. */
 export interface EngineSpec {
   readonly models: readonly ModelSpec[]
-  /** Room for weights and adapters together. */
+  /** Memory for weights and adapters together. */
   readonly weightsCapacityMb: number
   readonly adapterSlots: number
 }
 
-/** A group of backend servers. Without an engine it is a plain service. */
+/** A group of backend servers; a plain service when `engine` is undefined. */
 export interface Service {
   readonly name: string
   /** Path of the servers' health check. */
@@ -69,7 +69,7 @@
   readonly engine?: EngineSpec
 }
 
-/** Bounds on what a caller may send, and on how long it may take. */
+/** Bounds on the size of a caller's request and on the time to send it. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
@@ -77,44 +77,44 @@
   readonly idleTimeoutMs: number
 }
 
-/** What counts against an organisation's limit. */
+/** Unit in which an organisation's limit is counted. */
 export const LimitUnit = {
   Requests: 'requests',
-  /** Prompt tokens and the most tokens that may come out. */
+  /** Prompt tokens plus the most tokens that the answer may have. */
   Tokens: 'tokens'
 } as const
 
 export type LimitUnit = typeof LimitUnit[keyof typeof LimitUnit]
 
-/** How much an organisation may ask for, over all routers together. */
+/** Rate limit of an organisation over all routers together. */
 export interface OrganisationLimit {
   readonly unit: LimitUnit
   readonly unitsPerS: number
-  /** Units that may come at once after a pause. */
+  /** Most units that may be used at once after a pause. */
   readonly burstUnits: number
-  /** What a request without a count of tokens counts as. */
+  /** Units charged for a request without token counts. */
   readonly plainUnits: number
 }
 
 /** A customer whose callers share keys and a limit. */
 export interface Organisation {
   readonly name: string
-  /** Rank of its requests, 0 the most urgent; undefined leaves it to the route. */
+  /** Priority of its requests, 0 the most urgent; undefined to use the route's. */
   readonly priority: number | undefined
-  /** Undefined for one without a limit. */
+  /** Undefined for an organisation without a limit. */
   readonly limit: OrganisationLimit | undefined
 }
 
-/** The organisations of a configuration. */
+/** The organisations of one configuration. */
 export interface Organisations {
   readonly all: readonly Organisation[]
-  /** Who holds a key, by the key's digest in this process: keys themselves are not kept. */
+  /** Organisations by the digest of a key, which differs between processes. The keys themselves are not stored. */
   readonly byKeyDigest: ReadonlyMap<string, Organisation>
 }
 
-/** One accepted configuration, whole. */
+/** One accepted, complete configuration. */
 export interface Deployment {
-  /** Grows with each accepted configuration, in uneven steps. */
+  /** Grows with each accepted configuration, by varying steps. */
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: readonly Service[]
--- a/packages/fleet/src/feeds/constants.ts
+++ b/packages/fleet/src/feeds/constants.ts
@@ -1,14 +1,14 @@
-/** How long a read may wait at the store for something new; the store allows 30 s. */
+/** How long a read may wait at the store for new records; the store allows 30 s. */
 export const LONG_POLL_MS = 25_000
 
-/** A read that is not answered this long after it should be counts as lost: the store answers in 4 ms, at its slowest in 0.3 s. */
+/** Time beyond the wait at the store after which a read counts as lost. The store answers in 4 ms, in 0.3 s at its slowest. */
 export const READ_GRACE_MS = 1_500
 
-/** First pause after a failed read; it doubles up to `LAST_RETRY_MS`. */
-export const FIRST_RETRY_MS = 200
+/** First delay after a failed read; it doubles up to `MAX_RETRY_MS`. */
+export const INITIAL_RETRY_MS = 200
 
-/** Longest pause after failed reads: an outage's end is noticed within half of the second that it may take. */
-export const LAST_RETRY_MS = 1_000
+/** Longest delay after a failed read. The end of an outage must be noticed within one second, and half of that is left for the read. */
+export const MAX_RETRY_MS = 1_000
 
-/** After an outage, servers that lapsed meanwhile are listed again within about 2 s; one that is missing longer is gone. */
+/** Servers whose list entries expired during an outage are listed again within about 2 s; one missing for longer is gone. */
 export const REAPPEAR_MS = 2_500
--- a/packages/fleet/src/feeds/createFeedFollower.test.ts
+++ b/packages/fleet/src/feeds/createFeedFollower.test.ts
@@ -15,12 +15,12 @@
 
 const page = (nextOffset: number, ...records: readonly FeedRecord[]): Answer => Right({ records, nextOffset, isExpired: false })
 
-const away: Answer = Left(makeFault('timeout', 'read', 'store', 'no answer'))
+const unavailable: Answer = Left(makeFault('timeout', 'read', 'store', 'no answer'))
 
-/** A read that waits for ever, as on a connection that something between the two ends has forgotten. */
-const SILENT = 'silent'
+/** Stands for a read that never gets an answer, as on a connection that an intermediary has dropped without notice. */
+const NO_ANSWER = 'silent'
 
-const setUp = (answers: Array<Answer | typeof SILENT>) => {
+const setUp = (answers: Array<Answer | typeof NO_ANSWER>) => {
   const timers = createVirtualTimers()
   const taken: string[] = []
   const keys: string[][] = []
@@ -29,7 +29,7 @@
   let dueMs = 0
   const next = (): EitherAsync<Fault, FeedPage> => {
     const answer = answers.shift() ?? page(99)
-    return answer === SILENT ? EitherAsync(async () => await new Promise<FeedPage>(() => {})) : EitherAsync.liftEither(answer)
+    return answer === NO_ANSWER ? EitherAsync(async () => await new Promise<FeedPage>(() => {})) : EitherAsync.liftEither(answer)
   }
   const follower: FeedFollower = createFeedFollower({
     feed: {
@@ -62,8 +62,8 @@
   return { follower, taken, keys, outages, reads, pass }
 }
 
-describe('feed follower', () => {
-  it('reads the newest records first and what follows after them', async () => {
+describe('createFeedFollower', () => {
+  it('reads the newest record of each key first, then the records that follow', async () => {
     const { taken, keys, reads, pass } = setUp([page(5, record('a', 3)), page(6, record('a', 5))])
     await pass(150)
     expect(taken).to.deep.equal(['a@3', 'a@5'])
@@ -71,8 +71,8 @@
     expect(reads.slice(0, 2)).to.deep.equal(['newest', 'since 5'])
   })
 
-  it('never takes an older record after a newer one of its key', async () => {
-    // Guards against a configuration that reverts by a late answer of the store.
+  it('ignores an older record of a key after a newer one', async () => {
+    // Guards against a configuration that is reverted by a late answer of the store.
     const { follower, taken, pass } = setUp([page(4, record('config', 3)), page(5)])
     await pass(100)
     follower.offer([record('config', 9)])
@@ -81,7 +81,7 @@
     expect(taken).to.deep.equal(['config@3', 'config@9'])
   })
 
-  it('starts anew when the history was dropped', async () => {
+  it('reads the newest records again when the store has dropped its history', async () => {
     const expired: Answer = Right({ records: [], nextOffset: 0, isExpired: true })
     const { taken, keys, reads, pass } = setUp([page(5, record('a', 3)), expired, page(40, record('a', 39))])
     await pass(300)
@@ -90,9 +90,9 @@
     expect(keys).to.have.length(2)
   })
 
-  it('reads again at once when it is told that a wait is in vain', async () => {
-    // Guards against a read that waits on a connection that has died silently.
-    const { follower, taken, pass } = setUp([page(5), SILENT, page(6, record('config', 5))])
+  it('abandons a waiting read and reads again at once when asked to', async () => {
+    // Guards against a read that waits on a connection that has died without an error.
+    const { follower, taken, pass } = setUp([page(5), NO_ANSWER, page(6, record('config', 5))])
     await pass(5_000)
     expect(taken).to.deep.equal([])
     follower.hurry()
@@ -100,8 +100,8 @@
     expect(taken).to.deep.equal(['config@5'])
   })
 
-  it('tells of an outage once and of its end', async () => {
-    const { outages, pass } = setUp([page(5), away, away, away, page(6)])
+  it('reports an outage once, and its end', async () => {
+    const { outages, pass } = setUp([page(5), unavailable, unavailable, unavailable, page(6)])
     await pass(4_000)
     expect(outages).to.deep.equal(['lost', 'regained'])
   })
--- a/packages/fleet/src/feeds/createFeedFollower.ts
+++ b/packages/fleet/src/feeds/createFeedFollower.ts
@@ -1,60 +1,60 @@
 import { Left } from 'purify-ts'
 import { makeFault, runInBackground, sleep } from '@figmount/base'
 
-import { FIRST_RETRY_MS, LAST_RETRY_MS, READ_GRACE_MS } from './constants.js'
+import { INITIAL_RETRY_MS, MAX_RETRY_MS, READ_GRACE_MS } from './constants.js'
 
 import type { Either } from 'purify-ts'
 import type { EventLog, Fault, TimerService } from '@figmount/base'
-import type { FeedPage, FeedRead, FeedRecord, FeedStretch, KeyedFeed } from './types.js'
+import type { FeedPage, FeedRead, FeedRecord, FeedRange, KeyedFeed } from './types.js'
 
 interface Options {
   readonly feed: KeyedFeed
   readonly timers: TimerService
   readonly events: EventLog
-  /** Time that a read waits at the store for news; 0 polls. */
+  /** Time that a read waits at the store for new records; 0 polls. */
   readonly waitMs: number
-  /** Time until the next read is due. Asked again when it has passed: what a peer has read may put the read off. */
+  /** Time until the next read is due. Evaluated again when it has passed, because a peer's read may postpone the own one. */
   readonly dueInMs: () => number
-  /** Records in order of their offsets, never an older one after a newer one of its key. */
+  /** Called with records in order of their offsets, never with an older one after a newer one of the same key. */
   readonly take: (records: readonly FeedRecord[]) => void
-  /** The whole list of keys was read, in place of changes: keys that are missing have gone. */
+  /** Called with all keys after a read of the newest records; a key that is missing has been removed. */
   readonly takeKeys: (keys: ReadonlySet<string>) => void
-  /** The store has answered a read; called after its records were taken. */
+  /** Called when the store has answered a read, after the records were taken. */
   readonly noteRead?: (read: FeedRead) => void
   readonly lost: (fault: Fault) => void
   readonly regained: (outageMs: number) => void
 }
 
-/** Follows one feed of the store and takes in what peers pass on. */
+/** Follows one feed of the store, by own reads and by records that peers have read. */
 export interface FeedFollower {
-  /** Takes in records that a peer has read. */
+  /** Applies records that a peer has read. */
   readonly offer: (records: readonly FeedRecord[]) => void
-  /** Takes in what a peer has read. True when own reads go on after it: nothing between them is missing. */
-  readonly offerStretch: (stretch: FeedStretch) => boolean
-  /** Gives the read that waits up and reads again at once. */
+  /** Applies a range that a peer has read. Returns true when own reads continue after it because no record in between is missing. */
+  readonly offerStretch: (stretch: FeedRange) => boolean
+  /** Abandons the read that is waiting and reads again at once. */
   readonly hurry: () => void
   readonly stop: () => void
 }
 
-/** Reads a feed until it is stopped. */
+/** Follows a feed until it is stopped. */
 export const createFeedFollower = (options: Options): FeedFollower => {
   const { feed, timers } = options
   const stopping = new AbortController()
   const newestOffset = new Map<string, number>()
   let outageSinceMs: number | undefined
   let nextOffset: number | undefined
-  let giveUpWaiting: (given: Either<Fault, FeedPage>) => void = () => {}
+  let abandonRead: (given: Either<Fault, FeedPage>) => void = () => {}
 
   const accept = (records: readonly FeedRecord[]): void => {
-    const fresh: FeedRecord[] = []
+    const newRecords: FeedRecord[] = []
     for (const record of records) {
-      // Guards against an older value that arrives late, through a slow answer or a peer: it would bring back a
-      // configuration or a server that has been replaced. Offsets only grow, so the greater one is the newer.
+      // Guards against an older value that arrives late, from a slow answer or a peer: it would restore a configuration or a
+      // server entry that has been replaced. Offsets only grow, so the record with the greater offset is the newer one.
       if (record.offset <= (newestOffset.get(record.key) ?? -1)) continue
       newestOffset.set(record.key, record.offset)
-      fresh.push(record)
+      newRecords.push(record)
     }
-    if (fresh.length > 0) options.take(fresh)
+    if (newRecords.length > 0) options.take(newRecords)
   }
 
   const acceptAll = (page: FeedPage): void => {
@@ -62,17 +62,17 @@
     options.takeKeys(new Set(page.records.map(record => record.key)))
   }
 
-  // Guards against a connection that went silent: no answer and no error ever comes. The read is given up in time and
-  // made again on another connection.
+  // Guards against a connection that has died silently, without an answer or an error. The read times out and is repeated on
+  // another connection.
   const readStore = async (): Promise<Either<Fault, FeedPage>> => {
     if (nextOffset === undefined) return await feed.readNewest(READ_GRACE_MS).run()
     return await feed.readSince(nextOffset, options.waitMs, options.waitMs + READ_GRACE_MS).run()
   }
 
-  // What a read that was given up returns later is not taken in: the one after it reads the same records.
+  // A late result of an abandoned read is ignored: the next read returns the same records.
   const readOnce = async (): Promise<Either<Fault, FeedPage>> => {
-    const givenUp = new Promise<Either<Fault, FeedPage>>(resolve => { giveUpWaiting = resolve })
-    return await Promise.race([readStore(), givenUp])
+    const abandoned = new Promise<Either<Fault, FeedPage>>(resolve => { abandonRead = resolve })
+    return await Promise.race([readStore(), abandoned])
   }
 
   const noteAnswer = (page: FeedPage, fromOffset: number | undefined, beganMs: number): void => {
@@ -89,7 +89,7 @@
     options.noteRead?.({ stretch: { fromOffset: fromOffset ?? 0, toOffset: page.nextOffset, records: page.records }, isWhole, beganMs })
   }
 
-  const offerStretch = ({ fromOffset, toOffset, records }: FeedStretch): boolean => {
+  const offerStretch = ({ fromOffset, toOffset, records }: FeedRange): boolean => {
     accept(records)
     if (nextOffset === undefined || fromOffset > nextOffset) return false
     nextOffset = Math.max(nextOffset, toOffset)
@@ -97,8 +97,8 @@
   }
 
   const waitUntilDue = async (): Promise<void> => {
-    for (let leftMs = options.dueInMs(); leftMs > 0 && !stopping.signal.aborted; leftMs = options.dueInMs()) {
-      await sleep(timers, leftMs, stopping.signal)
+    for (let remainingMs = options.dueInMs(); remainingMs > 0 && !stopping.signal.aborted; remainingMs = options.dueInMs()) {
+      await sleep(timers, remainingMs, stopping.signal)
     }
   }
 
@@ -109,7 +109,7 @@
   }
 
   const follow = async (): Promise<void> => {
-    let retryMs = FIRST_RETRY_MS
+    let retryMs = INITIAL_RETRY_MS
     while (!stopping.signal.aborted) {
       const fromOffset = nextOffset
       const beganMs = timers.nowMs()
@@ -117,12 +117,12 @@
       if (stopping.signal.aborted) return
       result.caseOf({ Left: noteFault, Right: page => { noteAnswer(page, fromOffset, beganMs) } })
       if (result.isRight()) {
-        retryMs = FIRST_RETRY_MS
+        retryMs = INITIAL_RETRY_MS
         if (nextOffset !== undefined) await waitUntilDue()
         continue
       }
       await sleep(timers, retryMs, stopping.signal)
-      retryMs = Math.min(LAST_RETRY_MS, retryMs * 2)
+      retryMs = Math.min(MAX_RETRY_MS, retryMs * 2)
     }
   }
 
@@ -130,7 +130,7 @@
   return {
     offer: accept,
     offerStretch,
-    hurry: () => { giveUpWaiting(Left(makeFault('timeout', 'feeds.read', feed.name, 'read again at once'))) },
+    hurry: () => { abandonRead(Left(makeFault('timeout', 'feeds.read', feed.name, 'read again at once'))) },
     stop: () => { stopping.abort() }
   }
 }
--- a/packages/fleet/src/feeds/types.ts
+++ b/packages/fleet/src/feeds/types.ts
@@ -1,47 +1,47 @@
 import type { EitherAsync } from 'purify-ts'
 import type { Fault } from '@figmount/base'
 
-/** The newest value of one key. */
+/** The value of one key at one offset of a feed. */
 export interface FeedRecord {
-  /** Empty when it could not be read: such a record names nothing. */
+  /** Empty when the key could not be decoded; such a record belongs to no key. */
   readonly key: string
-  /** Undefined when the key was dropped. */
+  /** Undefined when the key was deleted. */
   readonly value: Uint8Array | undefined
-  /** Place in the feed's order; a greater one is newer. */
+  /** Position in the feed; a greater offset is newer. */
   readonly offset: number
 }
 
-/** What one read of a feed returned. */
+/** The result of one read of a feed. */
 export interface FeedPage {
   readonly records: readonly FeedRecord[]
-  /** Where the next read goes on. */
+  /** Offset at which the next read continues. */
   readonly nextOffset: number
-  /** The records asked for have expired: only the newest values can be read. */
+  /** The requested records have expired: only the newest values can be read. */
   readonly isExpired: boolean
 }
 
-/** A part of a feed that was read without a gap. */
-export interface FeedStretch {
+/** A range of a feed that was read without gaps. */
+export interface FeedRange {
   readonly fromOffset: number
-  /** Offset after its last record. */
+  /** Offset after the last record of the range. */
   readonly toOffset: number
   readonly records: readonly FeedRecord[]
 }
 
-/** One own read of a feed. */
+/** One read by the follower itself, as opposed to one by a peer. */
 export interface FeedRead {
-  readonly stretch: FeedStretch
-  /** The newest record of every key was read, in place of all records of the stretch. */
+  readonly stretch: FeedRange
+  /** The newest record of every key was read, instead of all records of the range. */
   readonly isWhole: boolean
-  /** Everything that was written before this time is in it. */
+  /** Start of the read. All records written before it are included. */
   readonly beganMs: number
 }
 
 /** A feed of keyed records in the platform's store. */
 export interface KeyedFeed {
   readonly name: string
-  /** The newest record of every key; a fault when the store does not answer in time. */
+  /** Reads the newest record of every key. */
   readonly readNewest: (timeoutMs: number) => EitherAsync<Fault, FeedPage>
-  /** Records from an offset on; the store waits up to `waitMs` for the first one. */
+  /** Reads the records from an offset on. The store waits up to `waitMs` for the first one. */
   readonly readSince: (offset: number, waitMs: number, timeoutMs: number) => EitherAsync<Fault, FeedPage>
 }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** What routers and agents on the HTTP path share: deployment, servers, feeds of the store, messages, ports to a platform. */
+/** Types and helpers shared by routers and agents on the HTTP path: deployment, servers, store feeds, messages and platform ports. */
 export { LimitUnit, RequestKind } from './deployment/types.js'
 export type * from './deployment/types.js'
 export { DEMAND_MEMORY_MS, decayDemand } from './demand/decayDemand.js'
--- a/packages/fleet/src/messages/structures.ts
+++ b/packages/fleet/src/messages/structures.ts
@@ -1,6 +1,6 @@
 /**
- * Kinds of objects in the messages that are sent most, by their fields in the order in which they are made. Both ends of a link know
- * them, so messages go without the names.
+ * Field names of the most frequent message objects, each list in the order in which the object is created. Both ends of a
+ * link have this list, so such objects are sent without their field names.
  */
 export const MESSAGE_STRUCTURES: ReadonlyArray<readonly string[]> = [
   ['type'],
--- a/packages/fleet/src/ports/types.ts
+++ b/packages/fleet/src/ports/types.ts
@@ -1,75 +1,75 @@
-/** What the product asks of a platform; an adapter fills it in. */
+/** The interfaces through which figmount uses a platform; each platform has an adapter that implements them. */
 import type { Either, EitherAsync } from 'purify-ts'
 import type { Fault } from '@figmount/base'
 import type { Deployment } from '../deployment/types.js'
 import type { KeyedFeed } from '../feeds/types.js'
 import type { ServerEntry, ServerReport } from '../servers/types.js'
 
-/** One part of a prompt, shared with other requests or not. */
+/** One part of a prompt. Requests with the same part share its id. */
 export interface PromptPart {
   readonly partId: string
   readonly tokenCount: number
 }
 
-/** What a caller's headers say of its request. */
+/** A caller's request as described by its headers. */
 export interface CallerRequest {
   readonly requestId: string
-  /** Undefined when the caller names none. */
+  /** Undefined when the caller sends none. */
   readonly deadlineMs: number | undefined
   readonly modelName: string
   readonly adapterName: string
   readonly promptTokens: number
-  /** Most tokens that may come out; undefined when the caller counts no tokens. */
+  /** Most tokens that the answer may have; undefined when the caller sends no token counts. */
   readonly outputTokens: number | undefined
-  /** Digest of the caller's key; empty without one. */
+  /** Digest of the caller's key; empty when it sends none. */
   readonly keyDigest: string
   readonly promptParts: readonly PromptPart[]
-  /** Last event that the caller has, empty for a new stream. */
+  /** Id of the last event that the caller has received; empty for a new stream. */
   readonly lastEventId: string
 }
 
-/** What figmount adds to a request on its way to a backend server. */
+/** Fields that figmount adds to a request to a backend server. */
 export interface ForwardFields {
   readonly serverId: string
   readonly deadlineMs: number
   readonly priority: number
-  /** Empty for a request that belongs to none. */
+  /** Empty for a request that belongs to no organisation. */
   readonly organisationName: string
-  /** Event after which the server goes on; empty for the beginning. */
+  /** Event after which the server continues the stream; empty to begin with the first one. */
   readonly lastEventId: string
 }
 
-/** What a backend server's headers say of its answer. */
+/** A backend server's answer as described by its headers. */
 export interface ServerAnswer {
   readonly requestId: string
   readonly serverId: string
-  /** The server states that it has not run the request and never will. */
+  /** The server states that it has not run the request and will not run it. */
   readonly isNotRun: boolean
 }
 
-/** Names and values as they came, one after the other. */
+/** Header names and values in alternation, in the order received. */
 export type RawHeaders = readonly string[]
 
-/** Translates headers between the platform's form and figmount's. */
+/** Translates headers between the platform's format and figmount's. */
 export interface HeaderCodec {
   readonly decodeRequest: (headers: RawHeaders) => Either<Fault, CallerRequest>
   readonly encodeForward: (headers: RawHeaders, fields: ForwardFields) => RawHeaders
   readonly decodeAnswer: (headers: RawHeaders) => ServerAnswer
-  /** The server's headers that its caller gets. */
+  /** Selects the server's headers that are passed to the caller. */
   readonly encodeAnswer: (headers: RawHeaders) => RawHeaders
   readonly encodeRefusal: (requestId: string, retryAfterMs: number) => RawHeaders
 }
 
-/** What an order is about. */
+/** An order to load or unload a model or an adapter. */
 export interface Order {
   readonly operation: 'load' | 'unload'
   readonly modelName: string
   readonly adapterName: string
-  /** The server carries the order out only if it has accepted just so many. */
+  /** The server carries the order out only if it has accepted exactly this many orders. */
   readonly expectedOrderCount: number
 }
 
-/** What a server answered to an order. */
+/** A server's answer to an order. */
 export const OrderAnswer = {
   Accepted: 'accepted',
   AlreadyDone: 'already_done',
@@ -82,7 +82,7 @@
 
 /** The engine beside an agent. */
 export interface EnginePort {
-  /** Asks the server for its id, by the health check of its service. */
+  /** Reads the server's id from the health check of its service. */
   readonly readServerId: (healthPath: string, timeoutMs: number) => EitherAsync<Fault, string>
   readonly readReport: (timeoutMs: number) => EitherAsync<Fault, ServerReport>
   readonly sendOrder: (serverId: string, order: Order, timeoutMs: number) => EitherAsync<Fault, OrderAnswer>
@@ -92,7 +92,7 @@
 export interface StorePort {
   readonly deploymentFeed: KeyedFeed
   readonly serverFeed: KeyedFeed
-  /** Undefined for a record of another key. */
+  /** Decodes a record whose key is accepted by `isDeploymentKey`; a fault for a malformed one. */
   readonly decodeDeployment: (key: string, value: Uint8Array) => Either<Fault, Deployment>
   readonly isDeploymentKey: (key: string) => boolean
   readonly decodeServer: (key: string, value: Uint8Array) => Either<Fault, ServerEntry>
--- a/packages/fleet/src/servers/compareStarts.test.ts
+++ b/packages/fleet/src/servers/compareStarts.test.ts
@@ -6,26 +6,26 @@
 
 const start = (serverId: string, startedAtUnixMs?: number): ServerStart => ({ serverId, startedAtUnixMs })
 
-describe('starts of a server', () => {
-  it('are the same only with id and time', () => {
+describe('comparison of server starts', () => {
+  it('treats two starts as the same only if id and start time match', () => {
     expect(isSameStart(start('a', 1), start('a', 1))).to.equal(true)
     expect(isSameStart(start('a', 1), start('a', 2))).to.equal(false)
     expect(isSameStart(start('a', 1), start('b', 1))).to.equal(false)
   })
 
-  it('of an unknown time prove no restart', () => {
+  it('assumes no restart when a start time is missing', () => {
     expect(isSameStart(start('a'), start('a', 2))).to.equal(true)
     expect(isEarlierStart(start('a'), start('a', 2))).to.equal(false)
     expect(isEarlierStart(start('a', 1), start('a'))).to.equal(false)
   })
 
-  it('are in order only within one server', () => {
+  it('orders only starts with the same id', () => {
     expect(isEarlierStart(start('a', 1), start('a', 2))).to.equal(true)
     expect(isEarlierStart(start('a', 2), start('a', 2))).to.equal(false)
     expect(isEarlierStart(start('a', 1), start('b', 2))).to.equal(false)
   })
 
-  it('have keys of their own', () => {
+  it('gives each start a key of its own', () => {
     expect(new Set([start('a', 1), start('a', 2), start('a'), start('b', 1)].map(startKeyOf)).size).to.equal(4)
   })
 })
--- a/packages/fleet/src/servers/types.ts
+++ b/packages/fleet/src/servers/types.ts
@@ -1,23 +1,23 @@
-/** A model that an engine holds, with those of its adapters that are in place. */
+/** A model that an engine holds, with its loaded adapters. */
 export interface HeldModel {
   readonly name: string
   readonly adapters: readonly string[]
 }
 
-/** One start of a backend server. It holds and knows nothing of the one before, also when it has the same id. */
+/** One start of a backend server. A new start has no state of an earlier one, also when it has the same id. */
 export interface ServerStart {
   readonly serverId: string
   /**
-   * By the server's own clock, which may be wrong: compared only between starts of one id. Undefined for a server that does
-   * not tell it; such a server has another id after each start.
+   * Start time by the server's own clock, which may be wrong: it is compared only between starts with the same id. Undefined for
+   * a server that does not report it; such a server has another id after each start.
    */
   readonly startedAtUnixMs: number | undefined
 }
 
-/** A backend server as the platform lists it. Seconds old at times. */
+/** A backend server as listed by the platform. The entry may be seconds old. */
 export interface ServerEntry extends ServerStart {
   readonly serviceName: string
-  /** host:port; may belong to another server later. */
+  /** `host:port`; another server may use it later. */
   readonly address: string
   readonly dataCentre: string
   readonly slots: number
@@ -25,22 +25,22 @@
   readonly models: readonly HeldModel[]
 }
 
-/** An engine's state as its agent reads it, tens of ms old. */
+/** An engine's state as read by its agent, tens of ms old. */
 export interface ServerReport {
-  /** As in `ServerStart`. */
+  /** Same as `ServerStart.startedAtUnixMs`. */
   readonly startedAtUnixMs: number | undefined
   readonly models: readonly HeldModel[]
-  /** Adapters that are being fetched, as `model/adapter`. They take a place already. */
+  /** Adapters that are being fetched, as `model/adapter`. Each already takes a slot. */
   readonly arrivingAdapters: readonly string[]
-  /** An order on a model is being carried out. */
+  /** The engine is carrying out an order on a model. */
   readonly isBusy: boolean
-  /** Orders that this start of the server has accepted. */
+  /** Number of orders that this start of the server has accepted. */
   readonly orderCount: number
   readonly runningCount: number
-  /** Requests taken whose first event has not been made: they wait or their prompts are being computed. */
+  /** Accepted requests without a first event: they are queued or their prompts are being computed. */
   readonly startingCount: number
   readonly isDraining: boolean
-  /** Models whose weights lie in the server's memory or on its disk. */
+  /** Models with a copy of their weights in the server's memory; `onDisk` lists those with a copy on its disk. */
   readonly inMemory: readonly string[]
   readonly onDisk: readonly string[]
 }
