--- a/packages/peers/src/links/acceptLinks.ts
+++ b/packages/peers/src/links/acceptLinks.ts
@@ -18,7 +18,7 @@
   socket.end('HTTP/1.1 401 Unauthorized\r\nconnection: close\r\n\r\n')
 }
 
-/** Accepts links at `/peer` of a listening server and runs one task for each. */
+/** Accepts links at `/peer` of a listening server and calls `runLink` for each. */
 export const acceptLinks = <Send, Receive>(
   server: Server,
   context: LinkContext,
@@ -28,8 +28,8 @@
   server.on('upgrade', (request, socket, head) => {
     const peer = header(request, INSTANCE_HEADER)
     const proof = header(request, PROOF_HEADER)
-    const known = request.url === '/peer' && checkProof(context.sharedKey, peer, proof, context.timers.unixMs())
-    if (!known) {
+    const isAuthenticated = request.url === '/peer' && checkProof(context.sharedKey, peer, proof, context.timers.unixMs())
+    if (!isAuthenticated) {
       context.events.emit(PeerEvent.peerRefused, { peer, step: 'links.accept' })
       return refuse(socket)
     }
--- a/packages/peers/src/links/constants.ts
+++ b/packages/peers/src/links/constants.ts
@@ -1,21 +1,18 @@
-/** A heartbeat goes out when nothing else was sent for this long. */
+/** A heartbeat is sent when no other message was sent for this long. */
 export const HEARTBEAT_MS = 1_000
 
-/**
- * A link on which nothing was heard for this long is given up and opened anew.
- * Grounds: two heartbeats may be late before a third is missed.
- */
+/** A link without a received message for this long is closed and opened again: two heartbeats may be late before a third is missed. */
 export const SILENCE_MS = 3_000
 
-/** Time for a handshake, after which the peer counts as unreachable. */
+/** Timeout of a handshake, after which the peer counts as unreachable. */
 export const CONNECT_TIMEOUT_MS = 1_500
 
-/** Largest message between processes: a prompt of 1 MB and its envelope. */
+/** Largest message between processes: room for a prompt of 1 MB and its envelope. */
 export const MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
-/** Beyond this many unsent bytes a link's peer counts as stuck and the link is closed. */
+/** A link with more unsent bytes than this is closed: its peer has stopped reading. */
 export const MAX_BUFFERED_BYTES = 16 * 1024 * 1024
 
-/** Header with the proof of the shared key, and the header with the instance that makes it. */
+/** Header with the proof that the sender has the shared key, and header with the sender's instance name. */
 export const PROOF_HEADER = 'figmount-proof'
 export const INSTANCE_HEADER = 'figmount-instance'
--- a/packages/peers/src/links/createInbox.ts
+++ b/packages/peers/src/links/createInbox.ts
@@ -1,40 +1,40 @@
-/** A queue between a callback that pushes and one task that reads in order. */
-export interface Inbox<T> {
+/** A queue that callbacks push values into and one asynchronous reader reads in order. */
+export interface MessageQueue<T> {
   readonly push: (value: T) => void
   readonly end: () => void
   readonly values: AsyncIterable<T>
 }
 
-/** Makes an inbox for one reader. */
-export const createInbox = <T>(): Inbox<T> => {
-  let waiting: T[] = []
-  let ended = false
-  let wake: (() => void) | undefined
+/** Creates an inbox for one reader. */
+export const createInbox = <T>(): MessageQueue<T> => {
+  let pending: T[] = []
+  let isEnded = false
+  let resumeReader: (() => void) | undefined
 
   const notify = (): void => {
-    wake?.()
-    wake = undefined
+    resumeReader?.()
+    resumeReader = undefined
   }
 
   const read = async function * (): AsyncGenerator<T> {
     while (true) {
-      const batch = waiting
-      waiting = []
+      const batch = pending
+      pending = []
       yield * batch
-      if (waiting.length > 0) continue
-      if (ended) return
-      await new Promise<void>(resolve => { wake = resolve })
+      if (pending.length > 0) continue
+      if (isEnded) return
+      await new Promise<void>(resolve => { resumeReader = resolve })
     }
   }
 
   return {
     push: value => {
-      if (ended) return
-      waiting.push(value)
+      if (isEnded) return
+      pending.push(value)
       notify()
     },
     end: () => {
-      ended = true
+      isEnded = true
       notify()
     },
     values: { [Symbol.asyncIterator]: read }
--- a/packages/peers/src/links/createMessageCodec.test.ts
+++ b/packages/peers/src/links/createMessageCodec.test.ts
@@ -6,8 +6,8 @@
 
 const message = (body: object): object => ({ offset: 0, clock: 7, body })
 
-describe('the codec of messages', () => {
-  it('carries known and unknown kinds of objects to the other end', () => {
+describe('createMessageCodec', () => {
+  it('transfers objects with and without a shared structure', () => {
     const [sender, receiver] = [createMessageCodec(STRUCTURES), createMessageCodec(STRUCTURES)]
     const bodies = [
       { type: 'a', models: [{ name: 'x', count: 1 }, { name: 'y', count: 2 }] },
@@ -20,7 +20,7 @@
     }
   })
 
-  it('leaves the names of known kinds out', () => {
+  it('leaves out the field names of objects with a shared structure', () => {
     const body = { type: 'a', models: Array.from({ length: 20 }, (_, count) => ({ name: 'm', count })) }
     const known = createMessageCodec(STRUCTURES).pack(message(body)).length
     const unknown = createMessageCodec([]).pack(message(body)).length
--- a/packages/peers/src/links/createMessageCodec.ts
+++ b/packages/peers/src/links/createMessageCodec.ts
@@ -1,16 +1,16 @@
 import { Packr } from 'msgpackr/pack'
 
-/** The field names of one kind of object, in the order in which it is made. */
+/** Field names of one kind of object, in the order in which the object is created. */
 export type Structure = readonly string[]
 
-/** Packs and unpacks the messages of a link. */
+/** Encodes and decodes the messages of a link. */
 export type MessageCodec = Pick<Packr, 'pack' | 'unpack'>
 
 const ENVELOPE: Structure = ['offset', 'clock', 'body']
 
 /**
- * Makes the codec of links whose two ends know the same structures in the same order. Objects of these kinds travel without their
- * names; one of any other kind names its fields once in each message.
+ * Creates a codec. Both ends of a link must use the same structures in the same order. Objects that match one are encoded
+ * without their field names; other objects include their field names once per message.
  */
 export const createMessageCodec = (structures: readonly Structure[]): MessageCodec => new Packr({
   useRecords: true,
--- a/packages/peers/src/links/openLink.test.ts
+++ b/packages/peers/src/links/openLink.test.ts
@@ -10,7 +10,7 @@
 import type { AddressInfo, Server } from 'node:net'
 import type { InstanceName } from '@figmount/base'
 
-/** The constant that RFC 6455 has a server hash with the client's key. */
+/** Constant from RFC 6455 that a server hashes together with the key in the client's handshake. */
 const HANDSHAKE_GUID = '258EAFA5-E914-47DA-95CA-C5AB0DC85B11'
 const FINAL_BINARY_FRAME = 0x82
 
@@ -18,8 +18,8 @@
   readonly type: string
 }
 
-/** A peer that sends its first message in one piece with the answer to the handshake. */
-const listenHasty = async (message: Message): Promise<Server> => {
+/** Starts a peer that sends its first message in the same write as the handshake response. */
+const listenWithEarlyMessage = async (message: Message): Promise<Server> => {
   const payload = pack({ offset: 0, clock: 1, body: message })
   const server = createServer(socket => {
     socket.once('data', data => {
@@ -33,11 +33,11 @@
   return server
 }
 
-describe('an opened link', () => {
-  it('has the message that came with the handshake', async () => {
-    // An agent tells its engine's state as soon as a router is linked. On a busy machine that message arrives in one piece
-    // with the handshake's answer. It was lost, and the router refused every request for a model that had to be loaded.
-    const server = await listenHasty({ type: 'first' })
+describe('openLink', () => {
+  it('receives a message that arrives together with the handshake response', async () => {
+    // An agent sends its engine's state as soon as a router is linked. On a busy machine that message arrives together with the
+    // handshake response. It was lost, and the router refused every request for a model that had to be loaded.
+    const server = await listenWithEarlyMessage({ type: 'first' })
     const { port } = server.address() as AddressInfo
     const timers = createTimerService()
     const context = {
--- a/packages/peers/src/links/openLink.ts
+++ b/packages/peers/src/links/openLink.ts
@@ -17,13 +17,13 @@
       maxPayload: MAX_MESSAGE_BYTES,
       perMessageDeflate: false
     })
-    // Guards against a peer whose first message comes with its answer to the handshake: it is handed out before a promise
-    // is settled, and a link that listens only then loses it. The loss shows as a peer that never tells its state.
+    // Guards against losing a first message that arrives together with the handshake response: it is emitted before a promise
+    // could settle, so the link must listen already. A lost one shows as a peer that never sends its state.
     socket.once('open', () => resolve(wrapSocket<Send, Receive>(socket, address, context)))
     socket.once('error', reject)
   })
 
-/** Dials a peer. The fault names the address. */
+/** Opens a link to a peer. A fault names the address. */
 export const openLink = <Send, Receive>(address: string, context: LinkContext): EitherAsync<LinkFault, Link<Send, Receive>> =>
   EitherAsync(async () => await connect<Send, Receive>(address, context))
     .mapLeft(faultFrom('links.open', address))
--- a/packages/peers/src/links/wrapSocket.ts
+++ b/packages/peers/src/links/wrapSocket.ts
@@ -11,8 +11,8 @@
 import type { MessageCodec } from './createMessageCodec.js'
 import type { Link, LinkContext, PackedMessage } from './types.js'
 
-/** For links whose context names no codec. */
-const plainCodec = createMessageCodec([])
+/** Codec of links whose context has none. */
+const defaultCodec = createMessageCodec([])
 
 const decode = <Body>(codec: MessageCodec, data: RawData): Envelope<Body> | undefined => {
   try {
@@ -26,40 +26,40 @@
   }
 }
 
-/** What all messages have. */
-interface Message {
+/** The field that every message has. */
+interface TypedMessage {
   readonly type: string
 }
 
-/** What packing a message needs of its links. */
+/** The part of a link context that `packMessage` uses. */
 type PackContext = Pick<LinkContext, 'offset' | 'events' | 'codec'>
 
-/** Packs a message once for all links that it goes through. */
-export const packMessage = <Body>({ offset, events, codec = plainCodec }: PackContext, body: Body): PackedMessage<Body> => {
+/** Encodes a message once, for sending it on many links. */
+export const packMessage = <Body>({ offset, events, codec = defaultCodec }: PackContext, body: Body): PackedMessage<Body> => {
   const envelope: Envelope<Body> = { offset: offset(), clock: events.tick(), body }
   return { bytes: codec.pack(envelope), body }
 }
 
-/** Makes a link of an open socket and watches it for silence. */
+/** Creates a link on an open socket and closes it when the peer goes silent. */
 export const wrapSocket = <Send, Receive>(socket: WebSocket, peer: string, context: LinkContext): Link<Send, Receive> => {
   const inbox = createInbox<Receive>()
-  const codec = context.codec ?? plainCodec
-  let open = true
+  const codec = context.codec ?? defaultCodec
+  let isOpen = true
   let lastHeardMs = context.timers.nowMs()
 
   const finish = (reason: string): void => {
-    if (!open) return
-    open = false
+    if (!isOpen) return
+    isOpen = false
     stopWatching()
     context.events.emit(PeerEvent.linkClosed, { peer, reason })
     inbox.end()
-    // `terminate` and not `close`: a peer that is cut off never answers a closing handshake.
+    // `terminate` instead of `close`: an unreachable peer never answers a closing handshake.
     socket.terminate()
   }
 
-  // Guards against a connection that something between the two ends has forgotten: writes
-  // succeed locally and nothing ever comes back. Both ends talk at least every HEARTBEAT_MS,
-  // so silence for SILENCE_MS means that this connection is dead even if a new one works.
+  // Guards against a connection that an intermediary has dropped without notice: writes succeed locally and no data ever
+  // arrives. Both ends send at least every HEARTBEAT_MS, so after SILENCE_MS without a message this connection is dead, even
+  // if a new connection to the same peer works.
   const stopWatching = context.timers.every(HEARTBEAT_MS / 2, () => {
     if (context.timers.nowMs() - lastHeardMs > SILENCE_MS) finish('silent')
   })
@@ -79,24 +79,24 @@
   socket.on('error', error => finish(error.message))
 
   const sendPacked = ({ bytes, body }: PackedMessage<Send>): void => {
-    if (!open) return
-    context.noteSent?.((body as Message).type, bytes.length)
+    if (!isOpen) return
+    context.noteSent?.((body as TypedMessage).type, bytes.length)
     socket.send(bytes)
-    // Guards against a peer that stops reading: without a bound the router's memory grows until it dies.
+    // Guards against a peer that stops reading: without a bound, the unsent messages would exhaust the router's memory.
     if (socket.bufferedAmount > MAX_BUFFERED_BYTES) finish('peer does not read')
   }
 
   return {
     peer,
-    send: body => { if (open) sendPacked(packMessage(context, body)) },
+    send: body => { if (isOpen) sendPacked(packMessage(context, body)) },
     sendPacked,
     received: inbox.values,
     close: finish,
-    isOpen: () => open,
+    isOpen: () => isOpen,
     bufferedBytes: () => socket.bufferedAmount,
     lastHeardMs: () => lastHeardMs
   }
 }
 
-/** Offset of a process that has read nothing yet. */
+/** Offset of a process that has not read any record. */
 export const NO_OFFSET = 0 as LogOffset
--- a/packages/peers/src/reports/reports.test.ts
+++ b/packages/peers/src/reports/reports.test.ts
@@ -22,8 +22,8 @@
   { minLength: 1, maxLength: 8 }
 )
 
-describe('thinned reports', () => {
-  it('give the receiver all that the sender knows', () => {
+describe('partial reports', () => {
+  it('give the receiver the same models as the sender', () => {
     fc.assert(fc.property(modelSets, sets => {
       const thin = createReportThinner()
       let known: AgentReport | undefined
@@ -36,7 +36,7 @@
     }), { seed: SEED, numRuns: 200 })
   })
 
-  it('are left out when nothing changed, and small when one model did', () => {
+  it('are skipped when nothing changed, and contain one model when one changed', () => {
     const thin = createReportThinner()
     const models = Array.from({ length: 20 }, (_, index) => modelOf(index, 'cold', 0))
     expect(thin(reportOf(0, models))?.models).to.have.length(20)
