--- a/packages/peers/src/links/constants.ts
+++ b/packages/peers/src/links/constants.ts
@@ -2,7 +2,7 @@
 export const HEARTBEAT_MS = 1_000
 
 /** A link without a received message for this long is closed and opened again: two heartbeats may be late before a third is missed. */
-export const SILENCE_MS = 3_000
+export const SILENCE_TIMEOUT_MS = 3_000
 
 /** Timeout of a handshake, after which the peer counts as unreachable. */
 export const CONNECT_TIMEOUT_MS = 1_500
--- a/packages/peers/src/links/wrapSocket.ts
+++ b/packages/peers/src/links/wrapSocket.ts
@@ -1,6 +1,6 @@
 import { BaseEvent } from '@figmount/base'
 
-import { HEARTBEAT_MS, MAX_BUFFERED_BYTES, SILENCE_MS } from './constants.js'
+import { HEARTBEAT_MS, MAX_BUFFERED_BYTES, SILENCE_TIMEOUT_MS } from './constants.js'
 import { createMessageCodec } from './createMessageCodec.js'
 import { createInbox } from './createInbox.js'
 import { PeerEvent } from './events.js'
@@ -58,10 +58,10 @@
   }
 
   // Guards against a connection that an intermediary has dropped without notice: writes succeed locally and no data ever
-  // arrives. Both ends send at least every HEARTBEAT_MS, so after SILENCE_MS without a message this connection is dead, even
-  // if a new connection to the same peer works.
+  // arrives. Both ends send at least every HEARTBEAT_MS, so a connection without a message for SILENCE_TIMEOUT_MS is dead,
+  // even if a new connection to the same peer works.
   const stopWatching = context.timers.every(HEARTBEAT_MS / 2, () => {
-    if (context.timers.nowMs() - lastHeardMs > SILENCE_MS) finish('silent')
+    if (context.timers.nowMs() - lastHeardMs > SILENCE_TIMEOUT_MS) finish('silent')
   })
 
   socket.on('message', data => {
--- a/packages/sidecar/src/demand/createDemandTotals.ts
+++ b/packages/sidecar/src/demand/createDemandTotals.ts
@@ -6,7 +6,7 @@
 /** Demand that decays below this rate is removed. */
 const MIN_REQUESTS_PER_S = 0.01
 
-/** Time of reported demand after which idle models are told from busy ones: a busy one is requested several times a second. */
+/** Time from the first reported demand after which idle models can be identified: a busy one is requested several times a second. */
 const SETTLING_MS = 4_000
 
 /** Time for which a computed total is cached: planning once for the engine reads each total many times. */
@@ -47,7 +47,7 @@
   readonly totalFor: (modelName: string) => TotalDemand
   /** Number of engines that hold a model, as routers report it. */
   readonly replicaCount: (modelName: string) => number
-  /** Demand has been reported for long enough to tell which models are idle. */
+  /** Demand has been reported for long enough to identify idle models. */
   readonly isSettled: () => boolean
   readonly adapterIdleMs: (modelName: string, adapterName: string) => number
 }
--- a/packages/sidecar/src/limits/createLimiters.ts
+++ b/packages/sidecar/src/limits/createLimiters.ts
@@ -4,7 +4,7 @@
 import type { RateLimit, TokenBucket } from '@figmount/decisions'
 import type { LimiterChosen, UnitsAnswered, UnitsAsked, UnitsReturned } from '@figmount/fleet'
 
-/** For this long after the first start of the whole system, a joining router adds a full share; later its share may be spent already. */
+/** For this long after the first start of the whole system, a joining router adds a full share; later part of it may be used up. */
 const FULL_START_MS = 4_000
 
 interface Limiter {
@@ -27,7 +27,7 @@
   readonly choose: (router: string, chosen: Pick<LimiterChosen, 'organisations' | 'routerCount'>) => void
   readonly dropRouter: (router: string) => void
   readonly ask: (router: string, asked: UnitsAsked) => UnitsAnswered
-  readonly returnUnits: (router: string, returned: UnitsReturned) => void
+  readonly giveBack: (router: string, returned: UnitsReturned) => void
 }
 
 /**
@@ -98,7 +98,7 @@
         ? { type: 'unitsAnswered', askId, outcome: 'taken', waitMs: taking.waitMs }
         : { type: 'unitsAnswered', askId, outcome: 'refused', waitMs: taking.retryAfterMs }
     },
-    returnUnits: (router, { organisation, units }) => {
+    giveBack: (router, { organisation, units }) => {
       const limiter = limiters.get(organisation)
       if (!limiter?.routers.has(router)) return
       limiters.set(organisation, { ...limiter, bucket: { ...limiter.bucket, levelUnits: limiter.bucket.levelUnits + units } })
--- a/packages/sidecar/src/links/compareStates.test.ts
+++ b/packages/sidecar/src/links/compareStates.test.ts
@@ -11,7 +11,7 @@
 
 describe('changes of an agent\'s state', () => {
   it('leave out small steps of fields that change all the time', () => {
-    // The eviction loss decays all the time. Before, each step sent the whole state to 31 routers ten times a second.
+    // The eviction loss decays continuously. When each step was sent, the whole state went to 31 routers ten times a second.
     expect(changesTo({ evictionLoss: 1.1, coldWaitMs: 4_000, roomMs: 120, demandTokensPerS: [7] })).to.deep.equal([])
   })
 
--- a/packages/sidecar/src/links/serveRouters.ts
+++ b/packages/sidecar/src/links/serveRouters.ts
@@ -162,7 +162,7 @@
       .with({ type: 'deploymentAsked' }, () => { sendDeployment(link) })
       .with({ type: 'limiterChosen' }, chosen => { options.limiters.choose(link.peer, chosen) })
       .with({ type: 'unitsAsked' }, asked => { sendTo(link, options.limiters.ask(link.peer, asked)) })
-      .with({ type: 'unitsReturned' }, returned => { options.limiters.returnUnits(link.peer, returned) })
+      .with({ type: 'unitsReturned' }, returned => { options.limiters.giveBack(link.peer, returned) })
       .with({ type: 'crash' }, notice => { sendToAll(notice, link) })
       .with({ type: 'heartbeat' }, () => {})
       .exhaustive()
