--- a/packages/sidecar/src/limits/createLimiters.ts
+++ b/packages/sidecar/src/limits/createLimiters.ts
@@ -4,7 +4,7 @@
 import type { RateLimit, TokenBucket } from '@figmount/decisions'
 import type { LimiterChosen, UnitsAnswered, UnitsAsked, UnitsReturned } from '@figmount/fleet'
 
-/** For this long after the first start of the whole system, a joining router adds a full share; later part of it may be used up. */
+/** For this long after the first start of the whole system, a joining router adds a full share; later an unknown part of it is used up. */
 const FULL_START_MS = 4_000
 
 interface Limiter {
@@ -33,7 +33,7 @@
 /**
  * Creates the limiters of one agent.
  *
- * A bucket has the share of the limit that its routers are of all routers. A router that moves to another limiter takes its
+ * A bucket has a share of the limit: the fraction of all routers that use it. A router that moves to another limiter takes its
  * share along, so limiters that crash, are partitioned or come back never admit more than the limit together.
  */
 export const createLimiters = ({ timers, limitOf, isFirstStart }: Options): Limiters => {
