--- a/packages/router/src/callers/openRequest.ts
+++ b/packages/router/src/callers/openRequest.ts
@@ -1,8 +1,8 @@
 import { RefusalReason } from '@figmount/schema'
 
 import { DEFAULT_RETRY_AFTER_MS } from '../requests/constants.js'
-import { chooseRetry } from '../requests/chooseRetry.js'
-import { notRun, truthful } from '../requests/refusals.js'
+import { chooseRetryAfterMs } from '../requests/chooseRetryAfterMs.js'
+import { notRun, correctRunState } from '../requests/refusals.js'
 import { reportRefusal, serveRequest } from '../requests/serveRequest.js'
 import { STOPPING_RETRY_MS } from './constants.js'
 
@@ -31,7 +31,7 @@
       reason: RefusalReason.OVERLOADED,
       detail: 'this router serves as many requests as it can hold',
       step: 'callers.enter',
-      retryAfterMs: chooseRetry(context, DEFAULT_RETRY_AFTER_MS, resendCount)
+      retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, resendCount)
     })
 
 const notReady = (): RefusalNote => notRun({
@@ -46,11 +46,11 @@
   reason: RefusalReason.RATE_LIMITED,
   detail: 'the caller holds its share of this router\'s places',
   step: 'callers.share',
-  retryAfterMs: chooseRetry(context, DEFAULT_RETRY_AFTER_MS, resendCount)
+  retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, resendCount)
 })
 
 const refuse = ({ context, fields, resendCount }: OpenOptions, note: RefusalNote): AnswerPart => {
-  const told = truthful(note, resendCount)
+  const told = correctRunState(note, resendCount)
   reportRefusal(context, told, fields)
   return { kind: 'refusal', note: told }
 }
--- a/packages/router/src/once/obtainPermit.ts
+++ b/packages/router/src/once/obtainPermit.ts
@@ -5,7 +5,7 @@
 import { RouterEvent } from '../events.js'
 import { PERMIT_WAIT_MS } from '../links/constants.js'
 import { DEFAULT_RETRY_AFTER_MS } from '../requests/constants.js'
-import { chooseRetry } from '../requests/chooseRetry.js'
+import { chooseRetryAfterMs } from '../requests/chooseRetryAfterMs.js'
 import { notRun, reasonName, runStateName } from '../requests/refusals.js'
 import { ASK_AGAIN_MS, HOLDER_WAIT_MS } from './constants.js'
 
@@ -46,7 +46,7 @@
     detail,
     step: 'once.permit',
     peer: holder,
-    retryAfterMs: chooseRetry(context, DEFAULT_RETRY_AFTER_MS, admitted.run.resendCount)
+    retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, admitted.run.resendCount)
   })
 })
 
--- a/packages/router/src/once/serveOnce.ts
+++ b/packages/router/src/once/serveOnce.ts
@@ -4,12 +4,12 @@
 
 import { DEFAULT_RETRY_AFTER_MS, OPEN_WAIT_MS } from '../requests/constants.js'
 import { choosePlacement } from '../requests/choosePlacement.js'
-import { chooseRetry } from '../requests/chooseRetry.js'
-import { noteSend } from '../requests/noteSend.js'
-import { mayHaveRun, notRun, truthful } from '../requests/refusals.js'
+import { chooseRetryAfterMs } from '../requests/chooseRetryAfterMs.js'
+import { trackSend } from '../requests/trackSend.js'
+import { mayHaveRun, notRun, correctRunState } from '../requests/refusals.js'
 import { runAttempt } from '../requests/runAttempt.js'
-import { quarantineNote } from '../requests/serveRepeatable.js'
-import { waitWithFrames } from '../requests/waitWithFrames.js'
+import { quarantineRefusal } from '../requests/serveRepeatable.js'
+import { awaitWithWaitingFrames } from '../requests/awaitWithWaitingFrames.js'
 import { UNKNOWN_RESENDS } from './constants.js'
 import { obtainPermit } from './obtainPermit.js'
 
@@ -25,7 +25,7 @@
   reason: RefusalReason.UNAVAILABLE,
   detail: `nobody holds the keys right of ${run.model}`,
   step: 'once.holder',
-  retryAfterMs: chooseRetry(context, DEFAULT_RETRY_AFTER_MS, run.resendCount)
+  retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, run.resendCount)
 })
 
 /**
@@ -58,12 +58,12 @@
  */
 const unknownRetryMs = (resendCount: number): number => resendCount < UNKNOWN_RESENDS ? DEFAULT_RETRY_AFTER_MS : 0
 
-const noteOf = (outcome: AttemptOutcome, joins: boolean, resendCount: number): RefusalNote | undefined => match(outcome)
+const refusalOf = (outcome: AttemptOutcome, isJoin: boolean, resendCount: number): RefusalNote | undefined => match(outcome)
   .returnType<RefusalNote | undefined>()
   .with({ kind: 'answered' }, { kind: 'callerLeft' }, () => undefined)
   .with({ kind: 'refused' }, ({ note }) => note)
   // Nothing left this router. What was to be joined may run all the same.
-  .with({ kind: 'unsent' }, ({ agent, detail }) => (joins ? mayHaveRun : notRun)({
+  .with({ kind: 'unsent' }, ({ agent, detail }) => (isJoin ? mayHaveRun : notRun)({
     reason: RefusalReason.UNAVAILABLE, detail, step: 'once.start', peer: agent, retryAfterMs: DEFAULT_RETRY_AFTER_MS
   }))
   .with({ kind: 'lost', isKnownLost: true }, ({ agent, detail }) =>
@@ -87,20 +87,20 @@
  */
 export const serveOnce = async function * (context: ServeContext, admitted: AdmittedRequest, signal: AbortSignal): AsyncGenerator<AnswerPart> {
   const { resendCount } = admitted.run
-  const quarantined = quarantineNote(context, admitted)
-  if (quarantined) return yield { kind: 'refusal', note: truthful(quarantined, resendCount) }
-  const decision = yield * waitWithFrames(context.timers, decideStart(context, admitted))
-  if (decision.kind === 'refuse') return yield { kind: 'refusal', note: truthful(decision.note, resendCount, decision.decided) }
+  const quarantined = quarantineRefusal(context, admitted)
+  if (quarantined) return yield { kind: 'refusal', note: correctRunState(quarantined, resendCount) }
+  const decision = yield * awaitWithWaitingFrames(context.timers, decideStart(context, admitted))
+  if (decision.kind === 'refuse') return yield { kind: 'refusal', note: correctRunState(decision.note, resendCount, decision.decided) }
   const { executor, attemptId } = decision
-  const joins = decision.kind === 'join'
-  yield * waitWithFrames(context.timers, context.links.linkTo(executor).whenOpen(OPEN_WAIT_MS).run())
+  const isJoin = decision.kind === 'join'
+  yield * awaitWithWaitingFrames(context.timers, context.links.linkTo(executor).whenOpen(OPEN_WAIT_MS).run())
   const permit = decision.kind === 'start' ? decision.permit : undefined
-  const forgetSend = joins ? undefined : noteSend(context, admitted, executor)
+  const untrackSend = isJoin ? undefined : trackSend(context, admitted, executor)
   const outcome = yield * runAttempt({
-    context, admitted, agent: executor, attemptId, doneTokens: [], joins, restarts: false, signal, ...(permit ? { permit } : {})
+    context, admitted, agent: executor, attemptId, doneTokens: [], isJoin, restarts: false, signal, ...(permit ? { permit } : {})
   })
-  forgetSend?.()
-  const note = noteOf(outcome, joins, resendCount)
+  untrackSend?.()
+  const note = refusalOf(outcome, isJoin, resendCount)
   if (permit && note?.runState === RunState.NOT_RUN) withdraw(context, permit, admitted)
   if (note) yield { kind: 'refusal', note }
 }
--- a/packages/router/src/requests/waitWithFrames.ts
+++ b/packages/router/src/requests/awaitWithWaitingFrames.ts
@@ -8,8 +8,8 @@
 
 const QUEUED: AnswerPart = { kind: 'waiting', state: WaitState.QUEUED, estimatedWaitMs: 0 }
 
-/** Awaits `promise` and tells the caller once a second that its request is alive. */
-export const waitWithFrames = async function * <T>(timers: TimerService, promise: Promise<T>): AsyncGenerator<AnswerPart, T> {
+/** Awaits `promise` and yields a `waiting` part every second, so that the caller sees that its request is alive. */
+export const awaitWithWaitingFrames = async function * <T>(timers: TimerService, promise: Promise<T>): AsyncGenerator<AnswerPart, T> {
   const done = promise.then(value => ({ value }))
   while (true) {
     const settled = await Promise.race([done, sleep(timers, WAITING_FRAME_MS)])
--- a/packages/router/src/requests/gatherTokens.ts
+++ b/packages/router/src/requests/batchTokens.ts
@@ -4,22 +4,22 @@
 import type { AttemptNotice } from '../links/types.js'
 import type { NoticeAction } from './readNotice.js'
 
-interface GatheredTokens {
+interface TokenBatch {
   readonly part: TokensPart
-  /** What was read behind the tokens and is still to be acted on. */
+  /** Action of the notice that was read after the tokens and is not applied yet. */
   readonly next: NoticeAction | undefined
 }
 
 /**
- * Joins the tokens that wait already into one frame for the caller. Nothing waits for a frame to
- * fill: a caller that reads as fast as tokens come gets each at once, and a router or caller that
- * falls behind pays for fewer frames, at some 30 us of processor each (docs/design/routing-path.md).
+ * Merges tokens that are already queued into one frame for the caller, without waiting for a frame
+ * to fill. A caller that keeps up receives each token at once; a router or caller that falls behind
+ * processes fewer frames, at about 30 us of CPU time each (docs/design/routing-path.md).
  */
-export const gatherTokens = async (
+export const batchTokens = async (
   first: TokensPart,
   take: (waitMs: number) => Promise<AttemptNotice | undefined>,
   read: (notice: AttemptNotice) => NoticeAction
-): Promise<GatheredTokens> => {
+): Promise<TokenBatch> => {
   const tokens = [...first.tokens]
   while (tokens.length < MAX_FRAME_TOKENS) {
     const notice = await take(0)
--- a/packages/router/src/requests/choosePlacement.ts
+++ b/packages/router/src/requests/choosePlacement.ts
@@ -5,7 +5,7 @@
 import { buildCandidates, buildPlainCandidates } from '../routing/buildCandidates.js'
 import { DEFAULT_RETRY_AFTER_MS, MORE_REPORTS_WAIT_MS, OPEN_WAIT_MS, RECENT_REPORT_MS, REFRESH_WAIT_MS } from './constants.js'
 import { pickSubset } from '../routing/pickSubset.js'
-import { chooseRetry } from './chooseRetry.js'
+import { chooseRetryAfterMs } from './chooseRetryAfterMs.js'
 import { notRun } from './refusals.js'
 
 import type { RoutingCandidate, RoutingChoice, RoutingRequest } from '@figmount/decisions'
@@ -25,13 +25,13 @@
 const isOpen = (context: ServeContext, candidate: RoutingCandidate): boolean =>
   context.links.viewOf(candidate.instance)?.isOpen ?? false
 
-/** Opens links to the candidates, so that the choice is made on reports and not on guesses. */
+/** Opens links to the candidates so that the choice is based on current load reports. */
 const openLinks = async (context: ServeContext, candidates: readonly RoutingCandidate[], waitMs: number): Promise<void> => {
   const links = candidates.map(candidate => context.links.linkTo(candidate.instance))
   for (const link of links) link.keep()
   const opening = links.filter(link => !link.view().isOpen).map(async link => await link.whenOpen(waitMs).run())
   if (opening.length === links.length) await Promise.all(opening)
-  // With some of the reports at hand the rest may come later: a silent agent must not hold the request up.
+  // Once some reports are available, the rest get only a short wait: an unresponsive agent must not delay the request.
   else await Promise.race([Promise.all(opening), sleep(context.timers, MORE_REPORTS_WAIT_MS)])
 }
 
@@ -48,17 +48,15 @@
     reason: RefusalReason.UNAVAILABLE,
     detail: `no agent that may serve ${admitted.run.model} can be reached`,
     step: 'routing.choose',
-    retryAfterMs: chooseRetry(context, DEFAULT_RETRY_AFTER_MS, admitted.run.resendCount)
+    retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, admitted.run.resendCount)
   })
 })
 
 /**
- * Chooses once more on new reports before a request is refused.
- *
- * Guards against a refusal on an old report: a burst is queued when the report is made and served
- * within the second, and the next caller hears that it would have to wait for all of it.
+ * Requests fresh reports and chooses a second time before a request is refused. A report made during
+ * a burst may show a queue that was served within the second; the next caller would be refused for it.
  */
-const chooseAgain = async (
+const chooseOnFreshReports = async (
   context: ServeContext, admitted: AdmittedRequest, progress: ServeProgress, candidates: readonly RoutingCandidate[], refused: RoutingChoice
 ): Promise<RoutingChoice> => {
   const stale = candidates.filter(candidate => candidate.reportAgeMs > RECENT_REPORT_MS)
@@ -68,14 +66,14 @@
   return context.chooseBackend(routingRequestOf(context, admitted), renewed, context.random)
 }
 
-/** Chooses where a request goes. Agents that cannot be reached are passed over. */
+/** Chooses the agent that a request is sent to, or a refusal. Skips agents that cannot be reached. */
 export const choosePlacement = async (context: ServeContext, admitted: AdmittedRequest, progress: ServeProgress): Promise<Placement> => {
   const remainingMs = admitted.deadlineAtMs - context.timers.nowMs()
   await openLinks(context, candidatesFor(context, admitted, progress), Math.min(OPEN_WAIT_MS, remainingMs))
   const reachable = candidatesFor(context, admitted, progress).filter(candidate => isOpen(context, candidate))
   if (reachable.length === 0) return refuseUnavailable(context, admitted)
   const first = context.chooseBackend(routingRequestOf(context, admitted), reachable, context.random)
-  const choice = first.kind === 'send' ? first : await chooseAgain(context, admitted, progress, reachable, first)
+  const choice = first.kind === 'send' ? first : await chooseOnFreshReports(context, admitted, progress, reachable, first)
   if (choice.kind === 'send') return { kind: 'start', candidate: choice.candidate }
   return {
     kind: 'refuse',
@@ -83,7 +81,7 @@
       reason: RefusalReason.OVERLOADED,
       detail: `expected wait of ${Math.round(choice.estimatedWaitMs)} ms is beyond the deadline`,
       step: 'routing.choose',
-      retryAfterMs: chooseRetry(context, choice.estimatedWaitMs, admitted.run.resendCount)
+      retryAfterMs: chooseRetryAfterMs(context, choice.estimatedWaitMs, admitted.run.resendCount)
     })
   }
 }
--- a/packages/router/src/requests/chooseRetry.ts
+++ b/packages/router/src/requests/chooseRetryAfterMs.ts
@@ -1,7 +1,7 @@
 import type { ServeContext } from './types.js'
 
-/** When a refused caller should come back, spread over those that were refused with it. */
-export const chooseRetry = (context: ServeContext, estimatedWaitMs: number, resendCount: number): number => {
+/** Returns the retry delay of a refused caller, spread so that callers refused together do not return together. */
+export const chooseRetryAfterMs = (context: ServeContext, estimatedWaitMs: number, resendCount: number): number => {
   const nowMs = context.timers.nowMs()
   const view = {
     estimatedWaitMs,
--- a/packages/router/src/requests/followAttempt.ts
+++ b/packages/router/src/requests/followAttempt.ts
@@ -2,7 +2,7 @@
 
 import { RouterEvent } from '../events.js'
 import { ACK_FRAME_COUNT, DEADLINE_GRACE_MS, WAITING_FRAME_MS } from './constants.js'
-import { gatherTokens } from './gatherTokens.js'
+import { batchTokens } from './batchTokens.js'
 import { readNotice } from './readNotice.js'
 
 import type { AnswerPart, AnswerState } from '../answers/types.js'
@@ -10,8 +10,8 @@
 import type { AttemptFacts, NoticeAction } from './readNotice.js'
 import type { AdmittedRequest, AttemptOutcome, ServeContext } from './types.js'
 
-/** The answer of one request as it grows; the attempt's link reads `state` to resume. */
-export interface AnswerCell {
+/** Mutable holder of the answer received so far; the link reads `state` to resume an attempt after a reconnect. */
+export interface MutableAnswer {
   state: AnswerState
 }
 
@@ -20,24 +20,24 @@
   readonly admitted: AdmittedRequest
   readonly facts: AttemptFacts
   readonly channel: AttemptChannel
-  readonly answer: AnswerCell
+  readonly answer: MutableAnswer
   readonly signal: AbortSignal
 }
 
-/** Follows one attempt to its end and yields what the caller is to be told. */
+/** Follows one attempt until it ends, and yields the parts of its answer for the caller. */
 export const followAttempt = async function * (options: FollowOptions): AsyncGenerator<AnswerPart, AttemptOutcome> {
   const { context, admitted, facts, channel, answer, signal } = options
   const { timers, events } = context
   const { attemptId } = answer.state
   let waiting: AnswerPart = { kind: 'waiting', state: WaitState.QUEUED, estimatedWaitMs: 0 }
   let lastPartAtMs = timers.nowMs()
-  let askedAtMs = -Infinity
+  let resumeRequestedAtMs = -Infinity
   let acknowledgedFrame = 0
 
-  const askAgain = (): void => {
-    // Every frame behind a gap shows it again; asking once a while is enough.
-    if (timers.nowMs() - askedAtMs < WAITING_FRAME_MS) return
-    askedAtMs = timers.nowMs()
+  const requestMissingFrames = (): void => {
+    // Every frame after a gap reveals the gap again; one resume request per interval is enough.
+    if (timers.nowMs() - resumeRequestedAtMs < WAITING_FRAME_MS) return
+    resumeRequestedAtMs = timers.nowMs()
     channel.send({ type: 'resume', attemptId, fromFrame: answer.state.nextFrame })
   }
 
@@ -46,21 +46,21 @@
     channel.send({ type: 'ack', attemptId, belowFrame: acknowledgedFrame })
   }
 
-  const acknowledgeSome = (): void => {
+  const acknowledgeIfDue = (): void => {
     if (answer.state.nextFrame - acknowledgedFrame >= ACK_FRAME_COUNT) acknowledge()
   }
 
   const read = (notice: AttemptNotice): NoticeAction => {
-    const reading = readNotice(answer.state, notice, facts)
-    answer.state = reading.state
-    return reading.action
+    const result = readNotice(answer.state, notice, facts)
+    answer.state = result.state
+    return result.action
   }
 
-  /** Does what an action asks for beside showing its part; the outcome if the attempt has ended. */
-  const act = (action: NoticeAction): AttemptOutcome | undefined => {
+  /** Applies an action, except for yielding its part; returns the outcome if the attempt has ended. */
+  const applyAction = (action: NoticeAction): AttemptOutcome | undefined => {
     if (action.kind === 'end') return action.outcome
     if (action.kind === 'remember') waiting = action.waiting
-    if (action.kind === 'ask') askAgain()
+    if (action.kind === 'ask') requestMissingFrames()
     if (action.kind === 'drop') events.emit(RouterEvent.frameDropped, { attemptId, peer: facts.agent, reason: action.reason })
     if (action.kind !== 'finish') return undefined
     acknowledge()
@@ -77,22 +77,22 @@
       lastPartAtMs = timers.nowMs()
       continue
     }
-    if (channel.hasOverflowed()) askAgain()
+    if (channel.hasOverflowed()) requestMissingFrames()
     const notice = await channel.take(Math.min(untilDeadlineMs, untilWaitingMs), signal)
     if (!notice) continue
     const action = read(notice)
     if (action.kind !== 'show') {
       if (action.kind === 'finish') yield action.part
-      const outcome = act(action)
+      const outcome = applyAction(action)
       if (outcome) return outcome
       continue
     }
-    const { part, next } = await gatherTokens(action.part, channel.take, read)
+    const { part, next } = await batchTokens(action.part, channel.take, read)
     yield part
     lastPartAtMs = timers.nowMs()
-    acknowledgeSome()
+    acknowledgeIfDue()
     if (next?.kind === 'finish') yield next.part
-    const outcome = next && act(next)
+    const outcome = next && applyAction(next)
     if (outcome) return outcome
   }
   return { kind: 'callerLeft' }
--- a/packages/router/src/requests/readNotice.ts
+++ b/packages/router/src/requests/readNotice.ts
@@ -9,7 +9,7 @@
 import type { AttemptNotice } from '../links/types.js'
 import type { AttemptOutcome } from './types.js'
 
-/** What a notice about an attempt asks the attempt's task to do. */
+/** Action that the task of an attempt takes for a notice. */
 export type NoticeAction =
   | { readonly kind: 'wait' }
   | { readonly kind: 'remember', readonly waiting: AnswerPart }
@@ -19,7 +19,7 @@
   | { readonly kind: 'finish', readonly part: AnswerPart }
   | { readonly kind: 'end', readonly outcome: AttemptOutcome }
 
-interface Reading {
+interface NoticeResult {
   readonly state: AnswerState
   readonly action: NoticeAction
 }
@@ -27,13 +27,13 @@
 export interface AttemptFacts {
   readonly agent: InstanceName
   readonly repeatable: boolean
-  /** True when an earlier send of the key started this attempt. */
-  readonly joined: boolean
+  /** True when the attempt was started by an earlier send of the request key. */
+  readonly isJoined: boolean
 }
 
 type LinkDown = Extract<AttemptNotice, { type: 'link.down' }>
 
-/** True when an attempt's agent counts as lost and no longer as about to come back. */
+/** True when an attempt counts as lost because its agent has been unreachable for too long. */
 export const isLost = ({ downMs, failedDialCount }: LinkDown, repeatable: boolean): boolean =>
   repeatable ? failedDialCount >= REPEATABLE_LOST_DIALS || downMs >= REPEATABLE_LOST_MS : downMs >= ONCE_LOST_MS
 
@@ -43,10 +43,10 @@
 const finalPart = (message: AnswerFrameMessage, facts: AttemptFacts): AnswerPart | undefined => {
   if (message.type !== 'final') return undefined
   const { tokenCount, finishReason, version, plain } = message
-  return { kind: 'final', tokenCount, finishReason, version, replayed: facts.joined, ...(plain ? { plain } : {}) }
+  return { kind: 'final', tokenCount, finishReason, version, replayed: facts.isJoined, ...(plain ? { plain } : {}) }
 }
 
-const readFrame = (state: AnswerState, message: AnswerFrameMessage, facts: AttemptFacts): Reading => {
+const readFrame = (state: AnswerState, message: AnswerFrameMessage, facts: AttemptFacts): NoticeResult => {
   const reduction = reduceAnswer(state, message)
   const action = match(reduction.step)
     .returnType<NoticeAction>()
@@ -62,11 +62,11 @@
   return { state: reduction.state, action }
 }
 
-/** Reads one notice: the new state of the answer and what is to be done. */
-export const readNotice = (state: AnswerState, notice: AttemptNotice, facts: AttemptFacts): Reading =>
+/** Applies one notice to the state of the answer; returns the new state and the action to take. */
+export const readNotice = (state: AnswerState, notice: AttemptNotice, facts: AttemptFacts): NoticeResult =>
   match(notice)
-    .returnType<Reading>()
-    // First what comes most: the patterns are tried in order.
+    .returnType<NoticeResult>()
+    // Most frequent notices first: the patterns are tried in order.
     .with({ type: 'tokens' }, { type: 'final' }, frame => readFrame(state, frame, facts))
     .with({ type: 'link.down' }, down => ({
       state,
--- a/packages/router/src/requests/serveRepeatable.ts
+++ b/packages/router/src/requests/serveRepeatable.ts
@@ -4,11 +4,11 @@
 import { RouterEvent } from '../events.js'
 import { DEFAULT_RETRY_AFTER_MS, MAX_ATTEMPTS } from './constants.js'
 import { choosePlacement } from './choosePlacement.js'
-import { chooseRetry } from './chooseRetry.js'
-import { noteSend } from './noteSend.js'
-import { mayHaveRun, notRun, truthful } from './refusals.js'
+import { chooseRetryAfterMs } from './chooseRetryAfterMs.js'
+import { trackSend } from './trackSend.js'
+import { mayHaveRun, notRun, correctRunState } from './refusals.js'
 import { runAttempt } from './runAttempt.js'
-import { waitWithFrames } from './waitWithFrames.js'
+import { awaitWithWaitingFrames } from './awaitWithWaitingFrames.js'
 
 import type { InstanceName } from '@figmount/base'
 import type { RefusalNote } from '@figmount/peers'
@@ -17,8 +17,8 @@
 
 const NO_PROGRESS: ServeProgress = { tokens: [], excluded: new Set(), attemptCount: 0, lossCount: 0, mayHaveRun: false }
 
-/** Refusals of one agent that say nothing about the others. */
-const ELSEWHERE_REASONS: ReadonlySet<RefusalReason> = new Set([
+/** Reasons for a refusal that apply to one agent only, so that another agent may still accept the request. */
+const RETRYABLE_REASONS: ReadonlySet<RefusalReason> = new Set([
   RefusalReason.OVERLOADED,
   RefusalReason.UNAVAILABLE,
   RefusalReason.STOPPING,
@@ -28,15 +28,15 @@
 
 const exclude = (progress: ServeProgress, agent: InstanceName): ReadonlySet<InstanceName> => new Set([...progress.excluded, agent])
 
-/** What one attempt's end means for the next. */
-export const afterAttempt = (progress: ServeProgress, agent: InstanceName, outcome: AttemptOutcome): ServeProgress => {
+/** Updates the progress of a request with the outcome of an attempt. */
+export const applyOutcome = (progress: ServeProgress, agent: InstanceName, outcome: AttemptOutcome): ServeProgress => {
   const counted = { ...progress, attemptCount: progress.attemptCount + 1 }
   return match(outcome)
     .returnType<ServeProgress>()
     .with({ kind: 'answered' }, { kind: 'callerLeft' }, () => counted)
     .with({ kind: 'unsent' }, () => ({ ...counted, excluded: exclude(progress, agent) }))
-    // Guards against refusing for want of another replica what merely got lost on its way: an agent that
-    // answers that it does not know the attempt is there, so it may be asked once more.
+    // An agent that reports the attempt as unknown is reachable; the start message may have been lost in transit.
+    // It may be tried once more, so that a request with a single replica is not refused.
     .with({ kind: 'lost', isKnownLost: true }, () => ({
       ...counted,
       excluded: progress.lossCount === 0 ? progress.excluded : exclude(progress, agent),
@@ -53,7 +53,7 @@
     .exhaustive()
 }
 
-const deadlineNote = (agent: InstanceName | ''): RefusalNote => notRun({
+const deadlineRefusal = (agent: InstanceName | ''): RefusalNote => notRun({
   reason: RefusalReason.DEADLINE,
   detail: 'the deadline has passed',
   step: 'requests.serve',
@@ -61,40 +61,40 @@
   retryAfterMs: DEFAULT_RETRY_AFTER_MS
 })
 
-/** A refusal as the caller is to hear it, with everything that has happened to its request. */
-const finalNote = (note: RefusalNote, admitted: AdmittedRequest, progress: ServeProgress): RefusalNote => {
+/** Sets the run state of the refusal sent to the caller, taking all attempts of its request into account. */
+const finalRefusal = (note: RefusalNote, admitted: AdmittedRequest, progress: ServeProgress): RefusalNote => {
   if (progress.tokens.length > 0) return { ...note, runState: RunState.RAN }
   if (progress.mayHaveRun && note.runState === RunState.NOT_RUN) return { ...note, runState: RunState.MAY_HAVE_RUN }
-  return truthful(note, admitted.run.resendCount)
+  return correctRunState(note, admitted.run.resendCount)
 }
 
-const noteOf = (context: ServeContext, admitted: AdmittedRequest, outcome: AttemptOutcome): RefusalNote | undefined =>
+const refusalOf = (context: ServeContext, admitted: AdmittedRequest, outcome: AttemptOutcome): RefusalNote | undefined =>
   match(outcome)
     .returnType<RefusalNote | undefined>()
     .with({ kind: 'answered' }, { kind: 'callerLeft' }, () => undefined)
-    .with({ kind: 'deadline' }, ({ agent }) => deadlineNote(agent))
+    .with({ kind: 'deadline' }, ({ agent }) => deadlineRefusal(agent))
     .with({ kind: 'refused' }, ({ note }) => note)
     .with({ kind: 'lost' }, { kind: 'unsent' }, ({ agent, detail }) => mayHaveRun({
       reason: RefusalReason.UNAVAILABLE,
       detail,
       step: 'requests.serve',
       peer: agent,
-      retryAfterMs: chooseRetry(context, DEFAULT_RETRY_AFTER_MS, admitted.run.resendCount)
+      retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, admitted.run.resendCount)
     }))
     .exhaustive()
 
 /**
- * True if another agent may be tried. What was lost goes on elsewhere in any case, because its
- * caller may have part of the answer; what was refused only within the retry budgets.
+ * True if another agent may be tried. A lost attempt is always retried, because the caller may have
+ * part of the answer; a refused one only within the retry budgets.
  */
-const mayGoElsewhere = (context: ServeContext, { run }: AdmittedRequest, outcome: AttemptOutcome): boolean => {
+const mayRetryElsewhere = (context: ServeContext, { run }: AdmittedRequest, outcome: AttemptOutcome): boolean => {
   if (outcome.kind === 'lost' || outcome.kind === 'unsent') return true
-  if (outcome.kind !== 'refused' || !ELSEWHERE_REASONS.has(outcome.note.reason)) return false
+  if (outcome.kind !== 'refused' || !RETRYABLE_REASONS.has(outcome.note.reason)) return false
   return context.budgets.spend(run.caller, run.service, context.timers.nowMs())
 }
 
-/** Refuses a request that is suspected of bringing down engines too often. */
-export const quarantineNote = (context: ServeContext, { run }: AdmittedRequest): RefusalNote | undefined => {
+/** Returns a refusal if the request is quarantined because engines have repeatedly crashed while they ran it. */
+export const quarantineRefusal = (context: ServeContext, { run }: AdmittedRequest): RefusalNote | undefined => {
   if (context.suspects.verdictOf(run.fingerprint) !== 'convicted') return undefined
   context.events.emit(RouterEvent.suspectRefused, { caller: run.caller, requestKey: run.requestKey, model: run.model, detail: run.fingerprint })
   return notRun({
@@ -105,8 +105,8 @@
 }
 
 /**
- * Serves a request that may be repeated: when its agent is lost it is started elsewhere
- * behind the tokens that the caller has, and the caller sees one unbroken answer.
+ * Serves a repeatable request. If its agent is lost, the request is restarted on another agent after
+ * the tokens already delivered, so that the caller receives one continuous answer.
  */
 export const serveRepeatable = async function * (context: ServeContext, admitted: AdmittedRequest, signal: AbortSignal): AsyncGenerator<AnswerPart> {
   const tokens: string[] = []
@@ -115,29 +115,29 @@
   context.budgets.credit(admitted.run.caller, admitted.run.service, context.timers.nowMs())
 
   while (!signal.aborted) {
-    const quarantined = quarantineNote(context, admitted)
-    if (quarantined) return yield { kind: 'refusal', note: finalNote(quarantined, admitted, progress) }
-    if (context.timers.nowMs() >= admitted.deadlineAtMs) return yield { kind: 'refusal', note: finalNote(deadlineNote(''), admitted, progress) }
-    const placement = yield * waitWithFrames(context.timers, choosePlacement(context, admitted, progress))
-    if (placement.kind === 'refuse') return yield { kind: 'refusal', note: finalNote(lastNote ?? placement.note, admitted, progress) }
-    const forgetSend = noteSend(context, admitted, placement.candidate.instance)
+    const quarantined = quarantineRefusal(context, admitted)
+    if (quarantined) return yield { kind: 'refusal', note: finalRefusal(quarantined, admitted, progress) }
+    if (context.timers.nowMs() >= admitted.deadlineAtMs) return yield { kind: 'refusal', note: finalRefusal(deadlineRefusal(''), admitted, progress) }
+    const placement = yield * awaitWithWaitingFrames(context.timers, choosePlacement(context, admitted, progress))
+    if (placement.kind === 'refuse') return yield { kind: 'refusal', note: finalRefusal(lastNote ?? placement.note, admitted, progress) }
+    const untrackSend = trackSend(context, admitted, placement.candidate.instance)
     const agent = placement.candidate.instance
     const parts = runAttempt({
-      context, admitted, agent, attemptId: context.newAttemptId(), doneTokens: [...tokens], joins: false, restarts: progress.attemptCount > 0, signal
+      context, admitted, agent, attemptId: context.newAttemptId(), doneTokens: [...tokens], isJoin: false, restarts: progress.attemptCount > 0, signal
     })
-    const outcome = yield * keepTokens(parts, tokens)
-    forgetSend()
-    progress = afterAttempt(progress, agent, outcome)
-    const note = noteOf(context, admitted, outcome)
+    const outcome = yield * collectTokens(parts, tokens)
+    untrackSend()
+    progress = applyOutcome(progress, agent, outcome)
+    const note = refusalOf(context, admitted, outcome)
     if (!note) return
     if (outcome.kind === 'lost') context.events.emit(RouterEvent.attemptLost, { caller: admitted.run.caller, requestKey: admitted.run.requestKey, peer: agent, reason: outcome.detail })
     lastNote = note
-    if (progress.attemptCount >= MAX_ATTEMPTS || !mayGoElsewhere(context, admitted, outcome)) return yield { kind: 'refusal', note: finalNote(note, admitted, progress) }
+    if (progress.attemptCount >= MAX_ATTEMPTS || !mayRetryElsewhere(context, admitted, outcome)) return yield { kind: 'refusal', note: finalRefusal(note, admitted, progress) }
   }
 }
 
-/** Passes parts on and remembers the tokens, for a start elsewhere. */
-const keepTokens = async function * (parts: AsyncGenerator<AnswerPart, AttemptOutcome>, tokens: string[]): AsyncGenerator<AnswerPart, AttemptOutcome> {
+/** Forwards the parts of an answer and collects their tokens for a restart on another agent. */
+const collectTokens = async function * (parts: AsyncGenerator<AnswerPart, AttemptOutcome>, tokens: string[]): AsyncGenerator<AnswerPart, AttemptOutcome> {
   try {
     while (true) {
       const next = await parts.next()
--- a/packages/router/src/requests/serveRequest.property.test.ts
+++ b/packages/router/src/requests/serveRequest.property.test.ts
@@ -15,9 +15,9 @@
 const WORDS = ['a', 'b', 'c', 'd']
 const never = new AbortController().signal
 
-/** What an agent does with the starts that it gets, in turn, and with a question for one that it has. */
-type Deed = 'answer' | 'stall' | 'refuse' | 'lose' | 'crash' | 'cut' | 'die' | 'silent'
-const deeds = fc.array(fc.constantFrom<Deed>('answer', 'stall', 'refuse', 'lose', 'crash', 'cut', 'die', 'silent'), { minLength: 1, maxLength: 3 })
+/** Action of an agent on a `start` message. Each agent cycles through its list of actions. */
+type AgentAction = 'answer' | 'stall' | 'refuse' | 'lose' | 'crash' | 'cut' | 'die' | 'silent'
+const agentActions = fc.array(fc.constantFrom<AgentAction>('answer', 'stall', 'refuse', 'lose', 'crash', 'cut', 'die', 'silent'), { minLength: 1, maxLength: 3 })
 
 const refusal = (attemptId: AttemptId, runState: RunState): FromAgent =>
   ({ type: 'refused', attemptId, refusal: { runState, reason: RefusalReason.UNAVAILABLE, retryAfterMs: 5, detail: '', step: 's', peer: 'p' } })
@@ -27,21 +27,21 @@
   { type: 'final', attemptId, frame: 1, tokenCount: WORDS.length, finishReason: FinishReason.STOP, version: 'v1' }
 ]
 
-interface Site {
+interface Fixture {
   readonly behaviours: Readonly<Record<string, Behave>>
-  /** Attempts that began to run, by whatever an agent did with them. */
+  /** Attempts that began to run on any agent. */
   readonly ran: Set<AttemptId>
-  /** Set once the agents stand. */
+  /** Replaced once the agents exist. */
   readonly trouble: { cut: (agent: string) => void, die: (agent: string) => void }
 }
 
-/** Agents that permit what is asked of them and do the given deeds. */
-const createSite = (plan: Readonly<Record<string, readonly Deed[]>>): Site => {
+/** Creates agents that grant every permit and perform the given actions. */
+const createFixture = (plan: Readonly<Record<string, readonly AgentAction[]>>): Fixture => {
   const ran = new Set<AttemptId>()
   const trouble = { cut: (_agent: string): void => {}, die: (_agent: string): void => {} }
-  const behaviourOf = (agent: string, turns: readonly Deed[]): Behave => {
+  const behaviourOf = (agent: string, turns: readonly AgentAction[]): Behave => {
     let turn = 0
-    const kept = new Map<AttemptId, readonly FromAgent[]>()
+    const storedFrames = new Map<AttemptId, readonly FromAgent[]>()
     return (message, say) => {
       if (message.type === 'permit.ask') {
         const { attemptId, executor, executorIncarnation, request: { caller, requestKey } } = message
@@ -49,40 +49,40 @@
         return say({ type: 'permit.reply', askId: message.askId, reply: { kind: 'granted', permit } })
       }
       if (message.type === 'resume') {
-        const frames = kept.get(message.attemptId)
+        const frames = storedFrames.get(message.attemptId)
         if (!frames) return say({ type: 'unknown', attemptId: message.attemptId, incarnation: '1' as never })
         for (const frame of frames.slice(message.fromFrame)) say(frame)
       }
       if (message.type !== 'start') return
       const { attemptId, request } = message
-      const deed = turns[turn++ % turns.length]
+      const action = turns[turn++ % turns.length]
       const frames = framesFrom(attemptId, request.doneTokens.length)
-      if (deed === 'refuse') return say(refusal(attemptId, RunState.NOT_RUN))
-      if (deed === 'silent') return
-      if (deed === 'lose') return trouble.cut(agent)
+      if (action === 'refuse') return say(refusal(attemptId, RunState.NOT_RUN))
+      if (action === 'silent') return
+      if (action === 'lose') return trouble.cut(agent)
       ran.add(attemptId)
-      if (deed === 'crash') return say(refusal(attemptId, RunState.MAY_HAVE_RUN))
-      if (deed === 'stall') return say({ type: 'tokens', attemptId, frame: 0, firstTokenIndex: request.doneTokens.length, tokens: WORDS.slice(request.doneTokens.length, request.doneTokens.length + 1) })
-      kept.set(attemptId, frames)
-      if (deed === 'cut') return trouble.cut(agent)
-      if (deed === 'die') return trouble.die(agent)
+      if (action === 'crash') return say(refusal(attemptId, RunState.MAY_HAVE_RUN))
+      if (action === 'stall') return say({ type: 'tokens', attemptId, frame: 0, firstTokenIndex: request.doneTokens.length, tokens: WORDS.slice(request.doneTokens.length, request.doneTokens.length + 1) })
+      storedFrames.set(attemptId, frames)
+      if (action === 'cut') return trouble.cut(agent)
+      if (action === 'die') return trouble.die(agent)
       for (const frame of frames) say(frame)
     }
   }
   const behaviours = Object.fromEntries(Object.entries(plan).map(([agent, turns]) => [agent, behaviourOf(agent, turns)]))
-  return { behaviours, ran, trouble }
+  return { behaviours, ran, trouble: trouble }
 }
 
 describe('serving through random failures', () => {
-  // Links are cut, agents die, lose a start, refuse, stall or say nothing, in any order. Whatever
-  // happens, the caller gets its own whole answer or a refusal in time, "not run" only if nothing
-  // ran, and a request that may not be repeated is sent to one agent at most.
-  it('keeps what is promised', async () => {
-    await fc.assert(fc.asyncProperty(deeds, deeds, fc.boolean(), fc.constantFrom('a1', 'a2'), async (first, second, repeatable, holder) => {
-      const site = createSite({ a1: first, a2: second })
-      const bench = createBench(site.behaviours)
-      site.trouble.cut = agent => bench.agentOf(agent).cut()
-      site.trouble.die = agent => {
+  // Links are cut; agents crash, lose a start, refuse, stall or stay silent, in any order. The caller
+  // must get either its complete answer or a refusal in time, "not run" only if nothing ran, and a
+  // non-repeatable request must be sent to at most one agent.
+  it('returns a complete answer or a correct refusal in time', async () => {
+    await fc.assert(fc.asyncProperty(agentActions, agentActions, fc.boolean(), fc.constantFrom('a1', 'a2'), async (first, second, repeatable, holder) => {
+      const fixture = createFixture({ a1: first, a2: second })
+      const bench = createBench(fixture.behaviours)
+      fixture.trouble.cut = agent => bench.agentOf(agent).cut()
+      fixture.trouble.die = agent => {
         bench.agentOf(agent).setDown(true)
         bench.agentOf(agent).cut()
       }
@@ -94,7 +94,7 @@
       expect(bench.timers.nowMs() - beganAtMs).to.be.at.most(DEADLINE_MS + DEADLINE_GRACE_MS + 1_000)
       expect(tokensOf(parts)).to.deep.equal(WORDS.slice(0, tokensOf(parts).length))
       if (last?.kind === 'final') expect(tokensOf(parts)).to.have.length(WORDS.length)
-      if (last?.kind === 'refusal' && last.note.runState === RunState.NOT_RUN) expect(site.ran.size).to.equal(0)
+      if (last?.kind === 'refusal' && last.note.runState === RunState.NOT_RUN) expect(fixture.ran.size).to.equal(0)
       const startCount = ['a1', 'a2'].reduce((count, agent) => count + bench.agentOf(agent).heardOf('start').length, 0)
       if (!repeatable) expect(startCount).to.be.at.most(1)
     }), { seed: SEED, numRuns: 60 })
--- a/packages/router/src/requests/serveRequest.test.ts
+++ b/packages/router/src/requests/serveRequest.test.ts
@@ -18,7 +18,7 @@
 
 const words = ['a', 'b', 'c', 'd']
 
-/** Answers every start with what is left of four tokens. */
+/** Answers every start with the rest of four tokens. */
 const answering: Behave = (message, say) => {
   if (message.type !== 'start') return
   const { attemptId, request } = message
@@ -38,17 +38,16 @@
 }
 
 describe('serving a repeatable request', () => {
-  it('passes a whole answer on', async () => {
+  it('delivers a complete answer', async () => {
     const bench = createBench({ a1: answering })
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted(), never)))
     expect(tokensOf(parts)).to.deep.equal(words)
     expect(parts.at(-1)).to.include({ kind: 'final', tokenCount: 4, replayed: false })
   })
 
-  // A caller reads a stream; the backend server's instance is reclaimed after two tokens.
-  // The link breaks and the agent can't be dialled any more. The request has to go on at
-  // the second replica behind these two tokens, and the caller sees one answer.
-  it('goes on elsewhere when its agent is lost', async () => {
+  // The instance is reclaimed after two tokens were streamed: the link breaks and dials fail. The request
+  // must continue on the second replica after these tokens, and the caller must see one answer.
+  it('continues on another agent when its agent is lost', async () => {
     const bench = createBench({ a1: stalling, a2: answering })
     bench.timers.after(500, () => {
       bench.agentOf('a1').setDown(true)
@@ -59,9 +58,9 @@
     expect(bench.agentOf('a2').heardOf('start')[0]?.request.doneTokens).to.deep.equal(['a', 'b'])
   })
 
-  // The link is cut for a moment while an answer streams. The new link must ask for the
-  // attempt from its next frame; a second start would run the request twice.
-  it('resumes on a new link and is not started again', async () => {
+  // The link is cut briefly while an answer streams. The new link must resume the attempt from its
+  // next frame; a second start would run the request twice.
+  it('resumes on a new link without a second start', async () => {
     const bench = createBench({
       a1: (message, say) => {
         stalling(message, say)
@@ -77,9 +76,9 @@
     expect(bench.agentOf('a1').heardOf('resume').map(message => message.fromFrame)).to.deep.equal([1])
   })
 
-  // A start is on its way when the link goes silent. The agent, asked on a new link, does not know
-  // the attempt. It is the only one that may hold the model; passed over, its caller is refused.
-  it('starts again at the same agent that does not know the attempt', async () => {
+  // The start message is lost with the link, and on the new link the agent reports the attempt as unknown.
+  // It is the only agent for the model; if it were excluded, the request would be refused.
+  it('restarts on the same agent if that does not know the attempt', async () => {
     let startCount = 0
     const bench = createBench({
       a1: (message, say) => {
@@ -93,8 +92,8 @@
     expect(parts.at(-1)).to.include({ kind: 'final', tokenCount: 4 })
   })
 
-  // The agent loses every attempt, since its process dies under each. The request must not go on for ever.
-  it('gives up an agent that loses it twice', async () => {
+  // The agent loses every attempt because its process crashes each time. The request must not be retried without end.
+  it('excludes an agent that loses the request twice', async () => {
     const bench = createBench({
       a1: (message, say) => {
         if (message.type === 'resume') say({ type: 'unknown', attemptId: message.attemptId, incarnation: '1' as Incarnation })
@@ -107,7 +106,7 @@
     expect(bench.agentOf('a1').heardOf('start')).to.have.length(2)
   })
 
-  it('tries another agent after a refusal and then refuses', async () => {
+  it('tries another agent after a refusal, then refuses', async () => {
     const full = refusing(RunState.NOT_RUN, RefusalReason.OVERLOADED)
     const bench = createBench({ a1: full, a2: full })
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted(), never)))
@@ -115,9 +114,9 @@
     expect(bench.agentOf('a2').heardOf('start')).to.have.length(1)
   })
 
-  // A burst was queued when the agent reported and is served by now. The next caller must not be
-  // refused for a queue that is gone.
-  it('is not refused on an old report', async () => {
+  // A burst was queued when the agent reported and has been served since. The next caller must not be
+  // refused because of the outdated queue length.
+  it('is not refused because of an outdated report', async () => {
     const bench = createBench({ a1: answering })
     bench.agentOf('a1').setQueuedSeconds(100)
     await bench.finish(bench.links.linkTo('a1' as never).whenOpen(1_000).run())
@@ -127,19 +126,19 @@
     expect(parts.at(-1)?.kind).to.equal('final')
   })
 
-  it('does not say "not run" when tokens came', async () => {
+  it('does not report "not run" after tokens were delivered', async () => {
     const bench = createBench({ a1: stalling })
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted({}, 4_000), never)))
     expect(parts.at(-1)).to.have.nested.include({ 'note.runState': RunState.RAN, 'note.reason': RefusalReason.DEADLINE })
   })
 
-  it('tells a waiting caller every second that it is alive', async () => {
+  it('sends a waiting caller a frame every second', async () => {
     const bench = createBench({ a1: () => {} })
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted({}, 5_500), never)))
     expect(parts.filter(part => part.kind === 'waiting')).to.have.length(5)
   })
 
-  it('is cancelled when its caller leaves', async () => {
+  it('is cancelled when its caller disconnects', async () => {
     const bench = createBench({ a1: stalling })
     const abort = new AbortController()
     bench.timers.after(500, () => abort.abort())
@@ -147,9 +146,9 @@
     expect(bench.agentOf('a1').heardOf('cancel')).to.have.length(1)
   })
 
-  // One request brings down the engine that runs it, and its caller sends it again at once.
-  // The suspicion came from a peer before the log has it: after two deaths it is refused.
-  it('is refused when it has brought down backend servers', async () => {
+  // One request crashes the engine that runs it, and its caller resends it at once. Peers report the
+  // crashes before the log does: after two crashes the request must be refused.
+  it('is refused after it has crashed backend servers', async () => {
     const bench = createBench({ a1: answering })
     for (const deathId of ['d1', 'd2']) bench.context.suspects.hear({ fingerprints: ['f'], deathId, instance: 'a1' as never })
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted(), never)))
@@ -157,7 +156,7 @@
     expect(bench.agentOf('a1').heardOf('start')).to.have.length(0)
   })
 
-  it('drops crossed and repeated frames', async () => {
+  it('drops frames of other attempts and repeated frames', async () => {
     const bench = createBench({
       a1: (message, say) => {
         if (message.type !== 'start') return
--- a/packages/router/src/requests/serveRequest.ts
+++ b/packages/router/src/requests/serveRequest.ts
@@ -10,7 +10,7 @@
 import type { AnswerPart, FinalPart } from '../answers/types.js'
 import type { AdmittedRequest, ServeContext } from './types.js'
 
-/** The event fields that tell which request something is about. */
+/** Event fields that identify a request. */
 export const requestFields = ({ run }: AdmittedRequest): EventFields => ({
   caller: run.caller,
   requestKey: run.requestKey,
@@ -21,7 +21,7 @@
   repeatable: run.repeatable
 })
 
-/** Reports a refusal, for the time line and `explain`. */
+/** Records a refusal in events and metrics, for the timeline and `explain`. */
 export const reportRefusal = (context: Pick<ServeContext, 'events' | 'metrics' | 'refusals' | 'timers'>, note: RefusalNote, fields: EventFields): void => {
   const reason = reasonName(note.reason)
   context.refusals.addRefused(context.timers.nowMs())
@@ -58,7 +58,7 @@
   run.plain !== undefined || findReplicaRights(context.records.state(), run.model).some(({ holder }) =>
     context.links.viewOf(holder)?.report?.models.some(entry => entry.model === run.model && entry.state === 'ready') ?? false)
 
-/** Serves one request: yields what its caller is to be told, last a `final` or a `refusal`, and reports it. */
+/** Serves one request and records its outcome. The last part yielded is a `final` or a `refusal`. */
 export const serveRequest = async function * (context: ServeContext, admitted: AdmittedRequest, signal: AbortSignal): AsyncGenerator<AnswerPart> {
   const wasCold = !isLoaded(context, admitted)
   let frameCount = 0
@@ -66,11 +66,11 @@
   let isEnded = false
   context.events.emit(RouterEvent.requestReceived, { ...requestFields(admitted), count: admitted.run.resendCount })
   context.metrics.count('requests_total')
-  const noteLeft = (): void => {
+  const reportCallerLeft = (): void => {
     if (!isEnded) context.events.emit(RouterEvent.requestLeft, requestFields(admitted))
     isEnded = true
   }
-  signal.addEventListener('abort', noteLeft, { once: true })
+  signal.addEventListener('abort', reportCallerLeft, { once: true })
   try {
     const parts = admitted.run.repeatable ? serveRepeatable(context, admitted, signal) : serveOnce(context, admitted, signal)
     for await (const part of parts) {
@@ -85,6 +85,6 @@
       yield part
     }
   } finally {
-    signal.removeEventListener('abort', noteLeft)
+    signal.removeEventListener('abort', reportCallerLeft)
   }
 }
--- a/packages/router/src/requests/noteSend.ts
+++ b/packages/router/src/requests/trackSend.ts
@@ -3,8 +3,8 @@
 
 const MS_PER_SECOND = 1000
 
-/** Notes a send for the choices to come; the returned function takes it back when the attempt has ended. */
-export const noteSend = (context: ServeContext, { run }: AdmittedRequest, agent: InstanceName): (() => void) => {
+/** Records a send for later routing choices; the returned function removes it when the attempt has ended. */
+export const trackSend = (context: ServeContext, { run }: AdmittedRequest, agent: InstanceName): (() => void) => {
   const report = context.links.viewOf(agent)?.report
   const tokenCount = context.estimates.expectedTokens(run.model, run.maxTokens)
   const workSeconds = tokenCount * (report?.tokenIntervalMs ?? 0) / MS_PER_SECOND / Math.max(1, report?.batchSize ?? 1)
--- a/packages/router/src/requests/types.ts
+++ b/packages/router/src/requests/types.ts
@@ -12,19 +12,19 @@
 import type { RetryBudgets } from '../retries/createRetryBudgets.js'
 import type { Suspects } from '../suspects/types.js'
 
-/** A checked request of a known caller for a known target. Times are monotonic. */
+/** A validated request of an authenticated caller to a configured target. Times are monotonic. */
 export interface AdmittedRequest {
   readonly run: Omit<RunRequest, 'remainingMs' | 'doneTokens' | 'suspect'>
   readonly receivedAtMs: number
   readonly deadlineAtMs: number
 }
 
-/** What serving a request needs of the router. */
+/** Dependencies and state of the router that are needed to serve requests. */
 export interface ServeContext {
   readonly instance: InstanceName
   readonly records: RecordsClient
   readonly links: AgentLinks
-  /** What candidates for a request to `model` with a prompt prefix are built from. */
+  /** Input for building the candidates for a request to `model` with a prompt prefix. */
   readonly sourcesFor: (model: ModelId, prefixHint: string) => RoutingSources
   readonly sends: SendLog
   readonly prefixes: PrefixMap
@@ -42,7 +42,7 @@
   readonly metrics: Metrics
 }
 
-/** What the choice of a backend server came to. */
+/** Result of the choice of a backend server. */
 export type Placement =
   | { readonly kind: 'start', readonly candidate: RoutingCandidate }
   | { readonly kind: 'refuse', readonly note: RefusalNote }
@@ -52,19 +52,19 @@
   | { readonly kind: 'answered' }
   | { readonly kind: 'callerLeft' }
   | { readonly kind: 'refused', readonly note: RefusalNote }
-  /** The agent cannot be reached; or it does not know the attempt, which is then lost for good. */
+  /** The agent cannot be reached, or (`isKnownLost`) the attempt is definitely lost, for example unknown to its agent. */
   | { readonly kind: 'lost', readonly agent: InstanceName, readonly detail: string, readonly isKnownLost: boolean }
-  /** Nothing left this router. */
+  /** The start message was not sent. */
   | { readonly kind: 'unsent', readonly agent: InstanceName, readonly detail: string }
   | { readonly kind: 'deadline', readonly agent: InstanceName }
 
-/** What has come of a request so far, over all its attempts. */
+/** State of a request across all its attempts. */
 export interface ServeProgress {
   readonly tokens: readonly string[]
-  /** Agents that lost or refused it. */
+  /** Agents that lost or refused the request. */
   readonly excluded: ReadonlySet<InstanceName>
   readonly attemptCount: number
   readonly lossCount: number
-  /** True once an attempt was sent whose agent has not said that nothing ran. */
+  /** True once an attempt was sent whose agent has not confirmed that nothing ran. */
   readonly mayHaveRun: boolean
 }
