--- a/packages/router/src/requests/serveRequest.property.test.ts
+++ b/packages/router/src/requests/serveRequest.property.test.ts
@@ -70,7 +70,7 @@
     }
   }
   const behaviours = Object.fromEntries(Object.entries(plan).map(([agent, turns]) => [agent, behaviourOf(agent, turns)]))
-  return { behaviours, ran, trouble: trouble }
+  return { behaviours, ran, trouble }
 }
 
 describe('serving through random failures', () => {
--- a/packages/router/src/requests/trackSend.ts
+++ b/packages/router/src/requests/trackSend.ts
@@ -8,6 +8,6 @@
   const report = context.links.viewOf(agent)?.report
   const tokenCount = context.estimates.expectedTokens(run.model, run.maxTokens)
   const workSeconds = tokenCount * (report?.tokenIntervalMs ?? 0) / MS_PER_SECOND / Math.max(1, report?.batchSize ?? 1)
-  context.prefixes.note(run.model, run.prefixHint, agent)
+  context.prefixes.add(run.model, run.prefixHint, agent)
   return context.sends.add(agent, workSeconds, context.timers.nowMs())
 }
--- a/packages/router/src/router/startTasks.ts
+++ b/packages/router/src/router/startTasks.ts
@@ -5,7 +5,7 @@
 import { pickNeighbours } from '../peers/pickNeighbours.js'
 import { createProposerList } from '../proposals/createProposerList.js'
 import { runProposer } from '../proposals/runProposer.js'
-import { isLoadedIn } from '../routing/isLoadedIn.js'
+import { isModelLoaded } from '../routing/isModelLoaded.js'
 import { watchAbsentEngines } from '../voids/watchAbsentEngines.js'
 
 import type { InstanceName, Unsubscribe } from '@figmount/base'
@@ -64,7 +64,7 @@
     proposeRights: parts.proposeRights,
     engineOf: absentEngines.reachOf,
     isStopping: agent => timers.nowMs() < (links.viewOf(agent)?.leavingUntilMs ?? -Infinity),
-    isLoaded: (agent, target) => isLoadedIn(links.viewOf(agent)?.report, target),
+    isLoaded: (agent, target) => isModelLoaded(links.viewOf(agent)?.report, target),
     timers,
     events,
     signal
--- a/packages/router/src/routing/buildCandidates.test.ts
+++ b/packages/router/src/routing/buildCandidates.test.ts
@@ -8,27 +8,27 @@
 import { pickSubset } from './pickSubset.js'
 
 import type { InstanceName } from '@figmount/base'
-import type { RoutingSources, Wanted } from './types.js'
+import type { RoutingSources, CandidateQuery } from './types.js'
 
 const A1 = 'a1' as InstanceName
 
-const namesOf = (sources: RoutingSources, wanted: Wanted): readonly string[] => buildCandidates(sources, wanted).map(candidate => candidate.instance)
+const namesOf = (sources: RoutingSources, query: CandidateQuery): readonly string[] => buildCandidates(sources, query).map(candidate => candidate.instance)
 
-describe('candidates', () => {
-  it('leave out agents that are drained, leaving, gone or excluded', () => {
+describe('routing candidates', () => {
+  it('exclude agents that are drained, leaving, gone or already tried', () => {
     const bench = createBench({ a1: () => {}, a2: () => {} })
-    const wanted: Wanted = { replicas: findReplicaRights(bench.records.state(), MODEL), adapter: '', coldStartMs: 1, excluded: new Set() }
+    const query: CandidateQuery = { replicas: findReplicaRights(bench.records.state(), MODEL), adapter: '', coldStartMs: 1, excluded: new Set() }
     const sources = bench.context.sourcesFor(MODEL, '')
-    expect(namesOf(sources, wanted)).to.deep.equal(['a1', 'a2'])
-    expect(namesOf(sources, { ...wanted, excluded: new Set([A1]) })).to.deep.equal(['a2'])
+    expect(namesOf(sources, query)).to.deep.equal(['a1', 'a2'])
+    expect(namesOf(sources, { ...query, excluded: new Set([A1]) })).to.deep.equal(['a2'])
     const listed = sources.list.instances.get(A1)
     const leaving = new Map([...sources.list.instances, ...(listed ? [[A1, { ...listed, leaving: true }] as const] : [])])
-    expect(namesOf({ ...sources, list: { ...sources.list, instances: leaving } }, wanted)).to.deep.equal(['a2'])
+    expect(namesOf({ ...sources, list: { ...sources.list, instances: leaving } }, query)).to.deep.equal(['a2'])
     bench.records.put({ kind: 'drain.set', instance: A1, draining: true, operatorName: 'op' })
-    expect(namesOf(bench.context.sourcesFor(MODEL, ''), wanted)).to.deep.equal(['a2'])
+    expect(namesOf(bench.context.sourcesFor(MODEL, ''), query)).to.deep.equal(['a2'])
   })
 
-  it('carry own sends until a report shows them', () => {
+  it('include the work of own sends until a report covers them', () => {
     const sends = createSendLog()
     sends.add(A1, 2, 1_000)
     sends.add(A1, 3, 1_500)
@@ -39,7 +39,7 @@
     expect(sends.unreportedSeconds(A1, 2_000)).to.equal(0)
   })
 
-  it('are a stable subset that differs between routers, the lowest slots in all', () => {
+  it('are limited to a stable subset per router that always includes the lowest slots', () => {
     const many = Array.from({ length: 100 }, (_, slotIndex) => ({
       instance: `a${slotIndex}` as InstanceName, slotIndex, fence: 1 as never, state: 'ready' as const, readyInMs: 0, queuedSeconds: 0, unreportedSeconds: 0, reportAgeMs: 0, batchSize: 1, tokenIntervalMs: 1, hasAdapter: true, hasPrefix: false, sameDataCentre: slotIndex % 2 === 0
     }))
@@ -52,12 +52,12 @@
     expect(subsetOf('r1').filter(slotIndex => left.includes(slotIndex))).to.have.length(7)
   })
 
-  it('remember a bounded number of prefixes, the latest used', () => {
+  it('use a prefix map that is bounded and evicts the least recently used prefix', () => {
     const prefixes = createPrefixMap(2)
-    prefixes.note(MODEL, 'p1', A1)
-    prefixes.note(MODEL, 'p2', A1)
-    prefixes.note(MODEL, 'p1', A1)
-    prefixes.note(MODEL, 'p3', A1)
+    prefixes.add(MODEL, 'p1', A1)
+    prefixes.add(MODEL, 'p2', A1)
+    prefixes.add(MODEL, 'p1', A1)
+    prefixes.add(MODEL, 'p3', A1)
     expect(['p1', 'p2', 'p3'].map(hint => prefixes.holderOf(MODEL, hint))).to.deep.equal([A1, undefined, A1])
   })
 })
--- a/packages/router/src/routing/buildCandidates.ts
+++ b/packages/router/src/routing/buildCandidates.ts
@@ -3,10 +3,10 @@
 import type { InstanceName } from '@figmount/base'
 import type { RoutingCandidate } from '@figmount/decisions'
 import type { AgentFacts, RightState } from '@figmount/records'
-import type { RoutingSources, Wanted } from './types.js'
+import type { RoutingSources, CandidateQuery } from './types.js'
 
-/** What a candidate's agent as a whole brings to a choice, whatever the model. */
-const agentPart = (sources: RoutingSources, instance: InstanceName) => {
+/** Fields of a candidate that describe its agent as a whole, independent of the model. */
+const agentFields = (sources: RoutingSources, instance: InstanceName) => {
   const view = sources.viewOf(instance)
   const report = view?.report
   const reportAtMs = view?.reportAtMs ?? -Infinity
@@ -22,31 +22,31 @@
   }
 }
 
-const candidateOf = (sources: RoutingSources, wanted: Wanted, right: RightState): RoutingCandidate => {
+const candidateOf = (sources: RoutingSources, query: CandidateQuery, right: RightState): RoutingCandidate => {
   const slotIndex = right.key.kind === 'replica' ? right.key.slotIndex : 0
   const models = sources.viewOf(right.holder)?.report?.models ?? []
   const model = models.find(entry => entry.model === right.key.target && entry.slotIndex === slotIndex)
   return {
-    ...agentPart(sources, right.holder),
+    ...agentFields(sources, right.holder),
     slotIndex,
     fence: right.fence,
     state: model?.state ?? 'cold',
-    readyInMs: model?.readyInMs ?? wanted.coldStartMs,
-    hasAdapter: wanted.adapter === '' || (model?.adapters.includes(wanted.adapter) ?? false),
+    readyInMs: model?.readyInMs ?? query.coldStartMs,
+    hasAdapter: query.adapter === '' || (model?.adapters.includes(query.adapter) ?? false),
     hasPrefix: sources.hasPrefix(right.holder)
   }
 }
 
-/** The slots of a model that may get a request now, lowest slot first, as the last reports show them. */
-export const buildCandidates = (sources: RoutingSources, wanted: Wanted): readonly RoutingCandidate[] =>
-  wanted.replicas
-    .filter(right => !wanted.excluded.has(right.holder) && isEligible(sources, right.holder))
-    .map(right => candidateOf(sources, wanted, right))
+/** Builds the candidates for a model: the replica slots that can accept a request, lowest slot first, as last reported. */
+export const buildCandidates = (sources: RoutingSources, query: CandidateQuery): readonly RoutingCandidate[] =>
+  query.replicas
+    .filter(right => !query.excluded.has(right.holder) && isEligible(sources, right.holder))
+    .map(right => candidateOf(sources, query, right))
 
 const servesPlain = (agent: AgentFacts, service: string): boolean =>
   agent.backendKind === 'plain' && agent.services.some(name => name === service)
 
-/** The agents of a plain service that may get a call now. */
+/** Builds the candidates for a plain service: the agents that can accept a call. */
 export const buildPlainCandidates = (
   sources: RoutingSources,
   service: string,
@@ -55,7 +55,7 @@
   [...sources.agents.values()]
     .filter(agent => servesPlain(agent, service) && !excluded.has(agent.instance) && isEligible(sources, agent.instance))
     .map(agent => ({
-      ...agentPart(sources, agent.instance),
+      ...agentFields(sources, agent.instance),
       slotIndex: 0,
       fence: agent.offset,
       state: 'ready',
--- a/packages/router/src/routing/createEstimates.ts
+++ b/packages/router/src/routing/createEstimates.ts
@@ -3,18 +3,18 @@
 import type { ModelId } from '@figmount/base'
 import type { Estimate } from '@figmount/decisions'
 
-/** What this router expects of a model's requests, from those that it served. */
+/** Estimates for requests to a model, based on the requests that this router has served. */
 export interface Estimates {
   readonly coldStartMs: (model: ModelId) => number
-  readonly observeColdStart: (model: ModelId, tookMs: number) => void
-  /** Tokens that an answer will have, at most `maxTokens`. */
+  readonly observeColdStart: (model: ModelId, durationMs: number) => void
+  /** Expected number of tokens in an answer, at most `maxTokens`. */
   readonly expectedTokens: (model: ModelId, maxTokens: number) => number
   readonly observeTokens: (model: ModelId, tokenCount: number) => void
 }
 
-/** Expectation for a model that was never seen cold. */
-const FIRST_COLD_START_MS = 3_000
-/** Models remembered; about 200 bytes each. The longest unused is forgotten. */
+/** Estimate for a model without an observed cold start. */
+const DEFAULT_COLD_START_MS = 3_000
+/** Maximum number of models, at about 200 bytes each. The least recently observed model is evicted. */
 const MAX_MODELS = 2_000
 
 const createEstimateMap = () => {
@@ -32,14 +32,14 @@
 }
 
 /**
- * Remembers cold starts and lengths of answers by model. Without the latter a caller that asks
- * for many tokens and gets few makes its agent look full.
+ * Estimates cold start times and answer lengths per model. Without observed lengths, a caller that
+ * requests many tokens but receives few would make its agent look fully loaded.
  */
 export const createEstimates = (): Estimates => {
   const coldStarts = createEstimateMap()
   const tokens = createEstimateMap()
   return {
-    coldStartMs: model => coldStarts.get(model)?.mean ?? FIRST_COLD_START_MS,
+    coldStartMs: model => coldStarts.get(model)?.mean ?? DEFAULT_COLD_START_MS,
     observeColdStart: coldStarts.add,
     expectedTokens: (model, maxTokens) => Math.min(maxTokens, Math.ceil(tokens.get(model)?.mean ?? maxTokens)),
     observeTokens: tokens.add
--- a/packages/router/src/routing/createPrefixMap.ts
+++ b/packages/router/src/routing/createPrefixMap.ts
@@ -1,23 +1,23 @@
 import type { InstanceName, ModelId } from '@figmount/base'
 
-/** Where prompt prefixes were last sent. */
+/** The agents to which prompt prefixes were last sent. */
 export interface PrefixMap {
-  readonly note: (model: ModelId, prefixHint: string, instance: InstanceName) => void
+  readonly add: (model: ModelId, prefixHint: string, instance: InstanceName) => void
   readonly holderOf: (model: ModelId, prefixHint: string) => InstanceName | undefined
 }
 
-/** Prefixes remembered; about 200 bytes each, 4 MB in all. */
+/** Maximum number of prefixes; about 200 bytes each, 4 MB in total. */
 const MAX_PREFIXES = 20_000
 
 /**
- * Remembers the agent that each prompt prefix was last sent to: an engine that has served a
- * prefix has it cached, long before its cache events say so. The longest unused is forgotten.
+ * Maps each prompt prefix to the agent it was last sent to. An engine has a prefix cached as soon as
+ * it has served it, long before its cache events report this. The least recently used prefix is evicted.
  */
 export const createPrefixMap = (maxCount = MAX_PREFIXES): PrefixMap => {
   const holders = new Map<string, InstanceName>()
   const keyOf = (model: ModelId, prefixHint: string): string => `${model}\u0000${prefixHint}`
   return {
-    note: (model, prefixHint, instance) => {
+    add: (model, prefixHint, instance) => {
       if (prefixHint === '') return
       const key = keyOf(model, prefixHint)
       holders.delete(key)
--- a/packages/router/src/routing/createSendLog.ts
+++ b/packages/router/src/routing/createSendLog.ts
@@ -1,8 +1,8 @@
 import type { InstanceName } from '@figmount/base'
 
-/** Own sends that an agent's last report cannot show yet. */
+/** Sends of this router that the last report of an agent does not cover yet. */
 export interface SendLog {
-  /** Notes a send; the returned function says that its attempt has ended. */
+  /** Records a send; the returned function removes it when its attempt has ended. */
   readonly add: (instance: InstanceName, workSeconds: number, nowMs: number) => () => void
   readonly unreportedSeconds: (instance: InstanceName, reportAtMs: number) => number
 }
@@ -12,39 +12,39 @@
   readonly workSeconds: number
 }
 
-/** A report that came this soon after a send was made before the send arrived. */
-const TRAVEL_MS = 20
+/** A report received within this time after a send was created before the send arrived. */
+const TRANSIT_MS = 20
 
 /**
- * Remembers own sends until a report shows them or their attempt has ended. Without it every
- * request of a burst goes to the agent whose last report looked best. The router's bound on
- * admitted requests bounds the log.
+ * Tracks the sends of this router until a report covers them or their attempt has ended. Otherwise
+ * every request of a burst would go to the agent with the best last report. The number of entries is
+ * limited by the number of requests that the router admits.
  */
 export const createSendLog = (): SendLog => {
   const sends = new Map<InstanceName, Set<Send>>()
 
-  const dropReported = (instance: InstanceName, known: Set<Send>, reportAtMs: number): void => {
-    for (const send of known) {
-      if (send.atMs > reportAtMs - TRAVEL_MS) break
-      known.delete(send)
+  const dropReported = (instance: InstanceName, pending: Set<Send>, reportAtMs: number): void => {
+    for (const send of pending) {
+      if (send.atMs > reportAtMs - TRANSIT_MS) break
+      pending.delete(send)
     }
-    if (known.size === 0) sends.delete(instance)
+    if (pending.size === 0) sends.delete(instance)
   }
 
   return {
     add: (instance, workSeconds, nowMs) => {
-      const known = sends.get(instance) ?? new Set<Send>()
-      sends.set(instance, known)
+      const pending = sends.get(instance) ?? new Set<Send>()
+      sends.set(instance, pending)
       const send = { atMs: nowMs, workSeconds }
-      known.add(send)
-      return () => { known.delete(send) }
+      pending.add(send)
+      return () => { pending.delete(send) }
     },
     unreportedSeconds: (instance, reportAtMs) => {
-      const known = sends.get(instance)
-      if (!known) return 0
-      dropReported(instance, known, reportAtMs)
+      const pending = sends.get(instance)
+      if (!pending) return 0
+      dropReported(instance, pending, reportAtMs)
       let seconds = 0
-      for (const send of known) seconds += send.workSeconds
+      for (const send of pending) seconds += send.workSeconds
       return seconds
     }
   }
--- a/packages/router/src/routing/isEligible.ts
+++ b/packages/router/src/routing/isEligible.ts
@@ -2,12 +2,12 @@
 import type { RoutingSources } from './types.js'
 
 /**
- * An agent that could not be dialled is left out for this long, then tried again.
- * Grounds: a few back-offs, so that a restarted agent is found within seconds.
+ * Time for which an agent is skipped after a failed dial. This covers a few backoff periods, so that
+ * a restarted agent is used again within seconds.
  */
 const UNREACHABLE_MS = 3_000
 
-/** True for an agent that may get new work: it is neither gone, leaving, drained nor known to be unreachable. */
+/** True if an agent can accept new work: it is not gone, leaving, drained or unreachable. */
 export const isEligible = (sources: RoutingSources, instance: InstanceName): boolean => {
   const facts = sources.agents.get(instance)
   if (facts?.gone || facts?.draining) return false
--- a/packages/router/src/routing/pickSubset.ts
+++ b/packages/router/src/routing/pickSubset.ts
@@ -4,17 +4,17 @@
 import type { RoutingCandidate } from '@figmount/decisions'
 
 /**
- * Candidates that one router keeps to when a model has more. Grounds: a choice between two random
- * ones of eight balances as well as between two of all, and each open link costs control traffic.
+ * Maximum number of candidates per router and model. Choosing between two random candidates out of
+ * eight balances as well as out of all of them, and each open link costs control traffic.
  */
 const SUBSET_COUNT = 8
-/** Lowest slots that are always in, so that all routers start a cold model at the same one. */
+/** Number of lowest slots that every router includes, so that all routers start a cold model on the same agent. */
 const COMMON_COUNT = 2
 
 /**
- * The candidates that one router uses for one model: the lowest slots, and a subset that stays the
- * same while its members do, own data centre first. Routers differ in theirs, so all replicas of a
- * model with very many are used, but none of them by every router.
+ * Picks the candidates that one router uses for one model: the lowest slots, plus a subset that is
+ * stable while its members are, with the router's own data centre first. The subset differs between
+ * routers, so that all replicas of a model are used but no router needs links to all of them.
  */
 export const pickSubset = (router: InstanceName, candidates: readonly RoutingCandidate[]): readonly RoutingCandidate[] => {
   if (candidates.length <= SUBSET_COUNT) return candidates
--- a/packages/router/src/routing/types.ts
+++ b/packages/router/src/routing/types.ts
@@ -3,7 +3,7 @@
 import type { InstanceList } from '../membership/types.js'
 import type { AgentView } from '../links/types.js'
 
-/** Everything that candidates for a request are built from. */
+/** Input for building the candidates for a request. */
 export interface RoutingSources {
   readonly agents: AgreedState['agents']
   readonly list: InstanceList
@@ -14,11 +14,11 @@
   readonly nowMs: number
 }
 
-/** What is wanted of a candidate. */
-export interface Wanted {
+/** Model replicas to choose from, and the request's requirements. */
+export interface CandidateQuery {
   readonly replicas: readonly RightState[]
   readonly adapter: string
   readonly coldStartMs: number
-  /** Agents that this request must not go to again. */
+  /** Agents that must not receive this request again. */
   readonly excluded: ReadonlySet<InstanceName>
 }
