--- a/packages/router/src/retries/createCallerShares.ts
+++ b/packages/router/src/retries/createCallerShares.ts
@@ -1,54 +1,54 @@
 import type { CallerName } from '@figmount/base'
 
-/** How many of a router's places each caller holds. */
+/** Number of concurrent requests that each caller has in the router. */
 export interface CallerShares {
-  /** False when the router is filling up and the caller holds its share already. */
+  /** False if the router is more than half full and the caller has used up its share. */
   readonly enter: (caller: CallerName, share: number) => boolean
   readonly leave: (caller: CallerName) => void
 }
 
-/** Below this fill everybody gets in: nobody is kept out by a caller that asks for much. */
-const CROWDED_FILL = 0.5
+/** Fill level below which every caller is admitted, even one that is above its share. */
+const SHARE_LIMIT_FILL = 0.5
 
-interface Holding {
+interface CallerUsage {
   readonly count: number
   readonly share: number
 }
 
 /**
- * Divides a router's places between callers once it is half full, by the shares that operators
- * gave them. Without it one hot caller that never gives up holds all places, and every other
- * caller is refused although the backend servers have room for it.
+ * Divides a router's request capacity between callers once it is half full, in proportion to the
+ * shares configured by operators. Otherwise one caller that retries without end could take the whole
+ * capacity, and all others would be refused although the backend servers could serve them.
  */
 export const createCallerShares = (maxCount: number): CallerShares => {
-  const holdings = new Map<CallerName, Holding>()
+  const usages = new Map<CallerName, CallerUsage>()
   let totalCount = 0
   let totalShare = 0
 
   const mayEnter = (count: number, share: number, isNew: boolean): boolean => {
-    if (totalCount < maxCount * CROWDED_FILL) return true
+    if (totalCount < maxCount * SHARE_LIMIT_FILL) return true
     return count < maxCount * share / (totalShare + (isNew ? share : 0))
   }
 
   return {
     enter: (caller, share) => {
-      const held = holdings.get(caller)
-      if (!mayEnter(held?.count ?? 0, share, !held)) return false
-      if (!held) totalShare += share
+      const usage = usages.get(caller)
+      if (!mayEnter(usage?.count ?? 0, share, !usage)) return false
+      if (!usage) totalShare += share
       totalCount += 1
-      holdings.set(caller, { count: (held?.count ?? 0) + 1, share: held?.share ?? share })
+      usages.set(caller, { count: (usage?.count ?? 0) + 1, share: usage?.share ?? share })
       return true
     },
     leave: caller => {
-      const held = holdings.get(caller)
-      if (!held) return
+      const usage = usages.get(caller)
+      if (!usage) return
       totalCount -= 1
-      if (held.count > 1) {
-        holdings.set(caller, { ...held, count: held.count - 1 })
+      if (usage.count > 1) {
+        usages.set(caller, { ...usage, count: usage.count - 1 })
         return
       }
-      holdings.delete(caller)
-      totalShare -= held.share
+      usages.delete(caller)
+      totalShare -= usage.share
     }
   }
 }
--- a/packages/router/src/retries/createRefusalLog.ts
+++ b/packages/router/src/retries/createRefusalLog.ts
@@ -1,4 +1,4 @@
-/** Counts refusals and answers of the last seconds, for come-back times that spread a herd. */
+/** Counts recent refusals and answers, for retry delays that spread returning callers. */
 export interface RefusalLog {
   readonly addRefused: (nowMs: number) => void
   readonly addServed: (nowMs: number) => void
@@ -7,7 +7,7 @@
 }
 
 const BUCKET_MS = 1_000
-/** Seconds looked back on: longer than most come-back times, short enough to follow an outage's end. */
+/** Length of the window in seconds: longer than most retry delays, short enough to follow the end of an outage. */
 const BUCKET_COUNT = 10
 
 interface Bucket {
@@ -16,7 +16,7 @@
   served: number
 }
 
-/** Makes the log: ten buckets of a second each, whatever the load. */
+/** Creates the log. Its size does not depend on the load: ten buckets of one second each. */
 export const createRefusalLog = (): RefusalLog => {
   const buckets: Bucket[] = []
 
--- a/packages/router/src/retries/createRetryBudgets.ts
+++ b/packages/router/src/retries/createRetryBudgets.ts
@@ -3,14 +3,14 @@
 import type { CallerName, ServiceName } from '@figmount/base'
 import type { RetryBudget } from '@figmount/decisions'
 
-/** Attempts beyond the first that callers and services may still cause. */
+/** Limits the retries that each caller and each service may cause. */
 export interface RetryBudgets {
   readonly credit: (caller: CallerName, service: ServiceName, nowMs: number) => void
-  /** False when either budget is empty: the caller is then told to come back. */
+  /** False if either budget is exhausted; the caller is then refused with a retry delay. */
   readonly spend: (caller: CallerName, service: ServiceName, nowMs: number) => boolean
 }
 
-/** Budgets kept of each kind; one that is forgotten is full again. */
+/** Maximum number of budgets per kind; an evicted budget starts full again. */
 const MAX_BUDGETS = 10_000
 
 const createBudgetMap = <Name extends string>() => {
@@ -27,8 +27,8 @@
 }
 
 /**
- * Keeps a budget for each caller and each service. Without it every request that a full agent
- * refuses is tried at the next ones too, and an overload multiplies itself.
+ * Creates a retry budget per caller and per service. Without budgets, every request refused by an
+ * overloaded agent would be retried on the next agents, which amplifies the overload.
  */
 export const createRetryBudgets = (): RetryBudgets => {
   const callers = createBudgetMap<CallerName>()
