--- a/packages/router/src/once/constants.ts
+++ b/packages/router/src/once/constants.ts
@@ -1,8 +1,8 @@
-/** Time for which the holder of a keys right is tried before the caller is refused. */
-export const HOLDER_WAIT_MS = 5_000
+/** Time for which the router tries to reach the holder of a keys right before it refuses the request. */
+export const HOLDER_TIMEOUT_MS = 5_000
 
-/** Pause before a holder that did not answer is asked again. */
-export const ASK_AGAIN_MS = 250
+/** Delay before a permit is requested again from a holder that did not answer. */
+export const PERMIT_RETRY_MS = 250
 
-/** Resends after which a caller is told that coming back for an unknown attempt is of no use: some five seconds. */
-export const UNKNOWN_RESENDS = 5
+/** Number of resends after which no further retry is suggested for an unknown attempt; about five seconds. */
+export const MAX_UNKNOWN_RESENDS = 5
--- a/packages/router/src/once/obtainPermit.ts
+++ b/packages/router/src/once/obtainPermit.ts
@@ -7,7 +7,7 @@
 import { DEFAULT_RETRY_AFTER_MS } from '../requests/constants.js'
 import { chooseRetryAfterMs } from '../requests/chooseRetryAfterMs.js'
 import { notRun, reasonName, runStateName } from '../requests/refusals.js'
-import { ASK_AGAIN_MS, HOLDER_WAIT_MS } from './constants.js'
+import { PERMIT_RETRY_MS, HOLDER_TIMEOUT_MS } from './constants.js'
 
 import type { AttemptId, EventFields, InstanceName } from '@figmount/base'
 import type { PermitReply } from '@figmount/peers'
@@ -38,9 +38,9 @@
   }
 }
 
-const unreachable = ({ context, admitted, holder }: ObtainOptions, detail: string): PermitDecision => ({
+const holderUnreachable = ({ context, admitted, holder }: ObtainOptions, detail: string): PermitDecision => ({
   kind: 'refuse',
-  decided: false,
+  isDecided: false,
   note: notRun({
     reason: RefusalReason.UNAVAILABLE,
     detail,
@@ -50,7 +50,7 @@
   })
 })
 
-const decide = (options: ObtainOptions, reply: PermitReply): PermitDecision => match(reply)
+const decisionOf = (options: ObtainOptions, reply: PermitReply): PermitDecision => match(reply)
   .returnType<PermitDecision>()
   .with({ kind: 'granted' }, ({ permit }) => {
     options.context.events.emit(RouterEvent.permitGranted, fieldsOf(options))
@@ -62,32 +62,32 @@
     options.context.events.emit(RouterEvent.permitRefused, {
       ...fieldsOf(options), runState: runStateName(runState), reason: reasonName(reason), retryAfterMs
     })
-    return { kind: 'refuse', note: refusal, decided: true }
+    return { kind: 'refuse', note: refusal, isDecided: true }
   })
   .exhaustive()
 
 /**
- * Asks the holder of the keys right whether a request may start on `executor`.
+ * Requests a permit to start a request on `executor` from the holder of the keys right.
  *
- * The same attempt id is asked for until an answer comes: the holder remembers it, so an
- * answer that was lost does no harm. Without an answer nothing of this attempt can have
- * run, because only this router would start it, and it does not.
+ * The request is repeated with the same attempt id until a reply arrives. The holder stores the id,
+ * so a lost reply is harmless. Without a reply nothing of this attempt can have run, because only
+ * this router could start it.
  */
 export const obtainPermit = async (options: ObtainOptions): Promise<PermitDecision> => {
   const { context, admitted, holder } = options
   const { timers } = context
   const link = context.links.linkTo(holder)
-  const giveUpAtMs = Math.min(admitted.deadlineAtMs, timers.nowMs() + HOLDER_WAIT_MS)
+  const giveUpAtMs = Math.min(admitted.deadlineAtMs, timers.nowMs() + HOLDER_TIMEOUT_MS)
   let detail = 'the holder of the keys right cannot be reached'
   while (timers.nowMs() < giveUpAtMs) {
     const opened = await link.whenOpen(giveUpAtMs - timers.nowMs()).run()
     if (opened.isRight()) {
       context.events.emit(RouterEvent.permitAsked, fieldsOf(options))
       const reply = await link.askPermit(askOf(options), Math.min(PERMIT_WAIT_MS, giveUpAtMs - timers.nowMs())).run()
-      if (reply.isRight()) return decide(options, reply.unsafeCoerce())
+      if (reply.isRight()) return decisionOf(options, reply.unsafeCoerce())
     }
     detail = opened.swap().map(fault => fault.message).orDefault(detail)
-    await sleep(timers, ASK_AGAIN_MS)
+    await sleep(timers, PERMIT_RETRY_MS)
   }
-  return unreachable(options, detail)
+  return holderUnreachable(options, detail)
 }
--- a/packages/router/src/once/serveOnce.test.ts
+++ b/packages/router/src/once/serveOnce.test.ts
@@ -9,7 +9,7 @@
 import type { Behave } from '../testing/createFakeAgent.js'
 
 const never = new AbortController().signal
-const EARLIER = 'r9/1/1' as AttemptId
+const EARLIER_ATTEMPT = 'r9/1/1' as AttemptId
 
 const answering: Behave = (message, say) => {
   if (message.type !== 'start' && message.type !== 'resume') return
@@ -28,8 +28,8 @@
   permit: { caller: 'c' as never, requestKey: 'k' as never, attemptId, executor, executorIncarnation: '1' as never, keysHolder: 'a2' as InstanceName, keysFence: 1 as never }
 }))
 
-describe('serving a request that may not be repeated', () => {
-  it('starts without a permit where the keys are held', async () => {
+describe('serving a non-repeatable request', () => {
+  it('starts without a permit on the holder of the keys right', async () => {
     const bench = createBench({ a1: answering })
     bench.grantKeys('a1')
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted({ repeatable: false }), never)))
@@ -37,7 +37,7 @@
     expect(bench.agentOf('a1').heardOf('permit.ask')).to.have.length(0)
   })
 
-  it('starts elsewhere under the holder\'s permit', async () => {
+  it('starts on another agent with a permit from the holder', async () => {
     const bench = createBench({ a1: answering, a2: granting })
     bench.grantKeys('a2')
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted({ repeatable: false }), never)))
@@ -45,21 +45,21 @@
     expect(bench.agentOf('a1').heardOf('start')[0]?.permit?.executor).to.equal('a1')
   })
 
-  // A foreman's alert was sent through another router that died. The resend reaches this one.
-  // The holder knows the key: the running attempt is joined where it runs and not started again.
+  // The first send went through another router that crashed. The holder already has the key, so the resend
+  // must join the running attempt on its executor instead of starting a second one.
   it('joins the attempt of an earlier send', async () => {
-    const known = permitting(() => ({ kind: 'known', attemptId: EARLIER, executor: 'a1' as InstanceName }))
+    const known = permitting(() => ({ kind: 'known', attemptId: EARLIER_ATTEMPT, executor: 'a1' as InstanceName }))
     const bench = createBench({ a1: answering, a2: known })
     bench.grantKeys('a2')
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted({ repeatable: false, resendCount: 1 }), never)))
     expect(parts.at(-1)).to.include({ kind: 'final', replayed: true })
     expect(bench.agentOf('a1').heardOf('start')).to.have.length(0)
-    expect(bench.agentOf('a1').heardOf('resume')[0]?.attemptId).to.equal(EARLIER)
+    expect(bench.agentOf('a1').heardOf('resume')[0]?.attemptId).to.equal(EARLIER_ATTEMPT)
   })
 
-  // The holder's instance is cut off. Of a first send nothing can have run, so the caller hears
-  // "not run". An earlier send may have been let in before the cut, so a resend hears "may have run".
-  it('says what is true when the holder cannot be reached', async () => {
+  // The holder is unreachable. A first send cannot have run, so the refusal says "not run". An earlier send may
+  // have been permitted before, so a resend is refused with "may have run".
+  it('reports the correct run state if the holder cannot be reached', async () => {
     for (const [resendCount, runState] of [[0, RunState.NOT_RUN], [1, RunState.MAY_HAVE_RUN]] as const) {
       const bench = createBench({ a1: answering, a2: granting })
       bench.grantKeys('a2')
@@ -70,9 +70,9 @@
     }
   })
 
-  // The executor's instance is lost after the start was sent. Whether the crew was dispatched is
-  // unknown; starting the request elsewhere could dispatch it twice.
-  it('may have run when its executor is lost, and runs nowhere else', async () => {
+  // The executor is lost after the start was sent, so it is unknown whether the request ran. Starting it on
+  // another agent could run it twice.
+  it('reports "may have run" and starts no other attempt if the executor is lost', async () => {
     const bench = createBench({ a1: () => {}, a2: answering })
     bench.grantKeys('a1')
     bench.timers.after(500, () => {
@@ -84,11 +84,11 @@
     expect(bench.agentOf('a2').heardOf('start')).to.have.length(0)
   })
 
-  // The executor does not know the attempt: its start was lost, or the agent has restarted. A resend
-  // may find out from the keys' holder, but not for ever.
-  it('may have run when its executor has forgotten it', async () => {
+  // The executor does not know the attempt: its start was lost or the agent has restarted. A resend may
+  // learn more from the holder of the keys right, but only for a limited number of resends.
+  it('reports "may have run" if the executor does not know the attempt', async () => {
     for (const [resendCount, retryAfterMs] of [[0, 1_000], [5, 0]] as const) {
-      const forgetting = permitting(() => ({ kind: 'known', attemptId: EARLIER, executor: 'a1' as InstanceName }))
+      const forgetting = permitting(() => ({ kind: 'known', attemptId: EARLIER_ATTEMPT, executor: 'a1' as InstanceName }))
       const bench = createBench({
         a1: (message, say) => {
           if (message.type === 'resume') say({ type: 'unknown', attemptId: message.attemptId, incarnation: '2' as never })
@@ -102,9 +102,9 @@
     }
   })
 
-  // The executor is full and says "not run". The holder still has the key as permitted; unless it
-  // is told, the caller's next try is joined to a run that never was.
-  it('gives the permit back when nothing ran', async () => {
+  // The executor is overloaded and answers "not run", but the holder still has the key as permitted. Unless
+  // the permit is withdrawn, a resend would join an attempt that never ran.
+  it('withdraws the permit if nothing ran', async () => {
     const full: Behave = (message, say) => {
       if (message.type !== 'start') return
       say({ type: 'refused', attemptId: message.attemptId, refusal: { runState: RunState.NOT_RUN, reason: RefusalReason.OVERLOADED, retryAfterMs: 5, detail: '', step: 's', peer: 'a1' } })
@@ -116,8 +116,8 @@
     expect(bench.agentOf('a2').heardOf('permit.withdraw')).to.have.length(1)
   })
 
-  it('may have run when what it joins cannot be reached', async () => {
-    const known = permitting(() => ({ kind: 'known', attemptId: EARLIER, executor: 'a1' as InstanceName }))
+  it('reports "may have run" if the executor of the joined attempt cannot be reached', async () => {
+    const known = permitting(() => ({ kind: 'known', attemptId: EARLIER_ATTEMPT, executor: 'a1' as InstanceName }))
     const bench = createBench({ a1: answering, a2: known })
     bench.grantKeys('a2')
     bench.agentOf('a1').setDown(true)
@@ -125,7 +125,7 @@
     expect(parts.at(-1)).to.have.nested.include({ 'note.runState': RunState.MAY_HAVE_RUN, 'note.peer': 'a1' })
   })
 
-  it('runs on when its caller leaves', async () => {
+  it('continues when its caller disconnects', async () => {
     const bench = createBench({ a1: () => {} })
     bench.grantKeys('a1')
     const abort = new AbortController()
--- a/packages/router/src/once/types.ts
+++ b/packages/router/src/once/types.ts
@@ -1,10 +1,10 @@
 import type { AttemptId, InstanceName } from '@figmount/base'
 import type { Permit, RefusalNote } from '@figmount/peers'
 
-/** What the holder of a keys right has decided on one key. */
+/** Decision of the holder of a keys right about one request key. */
 export type PermitDecision =
   | { readonly kind: 'start', readonly attemptId: AttemptId, readonly executor: InstanceName, readonly permit?: Permit }
-  /** The key runs or ran already. */
+  /** The key is running or has already run. */
   | { readonly kind: 'join', readonly attemptId: AttemptId, readonly executor: InstanceName }
-  /** `decided`: it is the holder's own word and covers every send of the key. */
-  | { readonly kind: 'refuse', readonly note: RefusalNote, readonly decided: boolean }
+  /** `isDecided`: the refusal was made by the holder itself and applies to every send of the key. */
+  | { readonly kind: 'refuse', readonly note: RefusalNote, readonly isDecided: boolean }
