--- a/packages/router/src/callers/admitRequest.ts
+++ b/packages/router/src/callers/admitRequest.ts
@@ -31,7 +31,7 @@
 const invalid = (detail: string): RefusalNote =>
   notRun({ reason: RefusalReason.INVALID, detail, step: 'callers.check' })
 
-/** Finds the caller that the `authorization` header's key belongs to. */
+/** Finds the caller for the key in the `authorization` header. */
 export const authenticateCaller = (state: AgreedState, authorization: string | null): Either<RefusalNote, CallerInForce> => {
   const key = authorization?.startsWith(BEARER) ? authorization.slice(BEARER.length) : ''
   const caller = key === '' ? undefined : findCallerByKey(state, hashKey(key))
@@ -40,12 +40,12 @@
     reason: RefusalReason.UNAUTHENTICATED,
     detail: key === '' ? 'no caller key in the authorization header' : 'unknown caller key',
     step: 'callers.authenticate',
-    // A caller that was configured a moment ago elsewhere may be unknown here for another second.
+    // A caller that was configured through another router may be unknown here for another second.
     retryAfterMs: key === '' ? 0 : UNKNOWN_RETRY_MS
   }))
 }
 
-const mistakeIn = (request: InferRequest, limits: RouterSettings['limits']): string | undefined => {
+const findValidationError = (request: InferRequest, limits: RouterSettings['limits']): string | undefined => {
   if (request.requestKey === '') return 'request_key is empty'
   if (request.requestKey.length > MAX_KEY_LENGTH) return `request_key is longer than ${MAX_KEY_LENGTH} characters`
   if (request.issuedAtMs <= 0n) return 'issued_at_ms is missing'
@@ -77,14 +77,14 @@
   return Right({ service, version })
 }
 
-/** Hash of what is asked, without caller and key: the same request resent or sent by others has the same. */
+/** Hash of a request's content without caller and request key: equal for resends and for the same request of other callers. */
 const fingerprintOf = (request: InferRequest, version: string): string =>
   hash64([request.service, request.model, request.adapter, version, request.maxTokens, request.prompt].join('\u0000')).toString(16)
 
-/** Checks what a known caller asks for against the limits and the configuration in force. */
+/** Validates the request of an authenticated caller against the limits and the current configuration. */
 export const admitRequest = (options: AdmitOptions, caller: CallerInForce, request: InferRequest): Either<RefusalNote, AdmittedRequest> => {
-  const mistake = mistakeIn(request, options.limits)
-  if (mistake) return Left(invalid(mistake))
+  const error = findValidationError(request, options.limits)
+  if (error) return Left(invalid(error))
   return resolveTarget(options.state, request).map(({ service, version }) => ({
     receivedAtMs: options.nowMs,
     deadlineAtMs: options.nowMs + request.deadlineMs,
--- a/packages/router/src/callers/constants.ts
+++ b/packages/router/src/callers/constants.ts
@@ -1,11 +1,11 @@
 /**
- * When to come back to a stopping router. Grounds: a resend reaches another router through
- * the balancer, so waiting longer would only cost the caller time.
+ * Retry delay of a refusal by a stopping router. The load balancer sends the resend to another
+ * router, so a longer delay would only cost the caller time.
  */
 export const STOPPING_RETRY_MS = 100
 
 /**
- * An unknown name is worth another try this much later: a configuration that was accepted
- * at another router is in force here within 3 s.
+ * Retry delay of a refusal for an unknown name: a configuration change that was accepted by another
+ * router takes effect here within 3 s.
  */
 export const UNKNOWN_RETRY_MS = 3_000
--- a/packages/router/src/callers/createGate.test.ts
+++ b/packages/router/src/callers/createGate.test.ts
@@ -16,8 +16,8 @@
   return last?.kind === 'refusal' ? last.note.reason : undefined
 }
 
-describe('gate', () => {
-  it('refuses at once when the router is full, and takes in again', async () => {
+describe('admission gate', () => {
+  it('refuses at once when the router is full, and admits again after a request has ended', async () => {
     const bench = createBench({ a1: () => {} })
     const gate = createGate(bench.timers, 1)
     const abort = new AbortController()
@@ -30,9 +30,9 @@
     expect(gate.enter()).to.equal('admitted')
   })
 
-  // The router is told to stop while an answer streams. New requests are refused with a short
-  // time to come back; the running one gets its last frame before the router ends.
-  it('lets running requests finish when it is closed', async () => {
+  // The router is stopped while an answer streams. New requests must be refused with a short retry delay,
+  // and the running one must receive its last frame before the router exits.
+  it('lets running requests finish after it was closed', async () => {
     const late: Behave = (message, say) => {
       if (message.type !== 'start') return
       const { attemptId } = message
@@ -50,7 +50,7 @@
     expect(await emptied).to.equal(true)
   })
 
-  it('ends the wait at its bound', async () => {
+  it('stops waiting for requests after the timeout', async () => {
     const timers = createVirtualTimers()
     const gate = createGate(timers, 1)
     gate.enter()
--- a/packages/router/src/callers/createGate.ts
+++ b/packages/router/src/callers/createGate.ts
@@ -1,21 +1,21 @@
 import type { TimerService } from '@figmount/base'
 
-/** Counts the requests that a router serves at a time. */
+/** Counts and limits the concurrent requests of a router. */
 export interface Gate {
   readonly enter: () => GateVerdict
   readonly leave: () => void
   readonly count: () => number
-  /** No request gets in any more. */
+  /** Refuses all further requests. */
   readonly close: () => void
-  /** Resolves when the last request has left, or after `waitMs`; false then. */
+  /** Resolves to true when the last request has left, or to false after `waitMs`. */
   readonly whenEmpty: (waitMs: number) => Promise<boolean>
 }
 
 export type GateVerdict = 'admitted' | 'full' | 'closed'
 
 /**
- * Bounds the requests in a router. Without it callers that never give up fill the router's
- * memory while the backend servers are full; with it a refusal costs no more than its frame.
+ * Limits the number of concurrent requests. Otherwise callers that retry without end would fill the
+ * router's memory while the backend servers are overloaded; a refusal costs no more than its frame.
  */
 export const createGate = (timers: TimerService, maxCount: number): Gate => {
   let count = 0
--- a/packages/router/src/callers/createInference.ts
+++ b/packages/router/src/callers/createInference.ts
@@ -20,7 +20,7 @@
 
 const MAX_LOGGED_LENGTH = 128
 
-const gatherWhole = async (parts: AsyncIterable<AnswerPart>): Promise<WholeAnswer> => {
+const collectWholeAnswer = async (parts: AsyncIterable<AnswerPart>): Promise<WholeAnswer> => {
   const tokens: string[] = []
   let frameCount = 0
   for await (const part of parts) {
@@ -32,7 +32,7 @@
   return create(WholeAnswerSchema, {})
 }
 
-/** The callers' service. */
+/** Implements the RPC service for callers. */
 export const createInference = ({ context, gate, limits }: Options): ServiceImpl<typeof Inference> => {
   const partsOf = (request: InferRequest, handler: HandlerContext): AsyncGenerator<AnswerPart> => openRequest({
     context,
@@ -48,6 +48,6 @@
   })
   return {
     infer: (request, handler) => numberFrames(partsOf(request, handler)),
-    inferWhole: async (request, handler) => await gatherWhole(partsOf(request, handler))
+    inferWhole: async (request, handler) => await collectWholeAnswer(partsOf(request, handler))
   }
 }
--- a/packages/router/src/callers/openRequest.ts
+++ b/packages/router/src/callers/openRequest.ts
@@ -16,15 +16,15 @@
 interface OpenOptions {
   readonly context: ServeContext
   readonly gate: Gate
-  /** Checks who asks for what; not run before the gate lets the request in. */
+  /** Authenticates and validates the request; called only after the gate has admitted it. */
   readonly admit: () => Either<RefusalNote, AdmittedRequest> | Promise<Either<RefusalNote, AdmittedRequest>>
-  /** What is known of the request before it is checked. */
+  /** Event fields that are available before the request is validated. */
   readonly fields: EventFields
   readonly resendCount: number
   readonly signal: AbortSignal
 }
 
-const turnedAway = (context: ServeContext, verdict: Exclude<GateVerdict, 'admitted'>, resendCount: number): RefusalNote =>
+const gateRefusal = (context: ServeContext, verdict: Exclude<GateVerdict, 'admitted'>, resendCount: number): RefusalNote =>
   verdict === 'closed'
     ? notRun({ reason: RefusalReason.STOPPING, detail: 'this router is stopping', step: 'callers.enter', retryAfterMs: STOPPING_RETRY_MS })
     : notRun({
@@ -34,7 +34,7 @@
       retryAfterMs: chooseRetryAfterMs(context, DEFAULT_RETRY_AFTER_MS, resendCount)
     })
 
-const notReady = (): RefusalNote => notRun({
+const notReadyRefusal = (): RefusalNote => notRun({
   reason: RefusalReason.LOG_UNREACHABLE,
   detail: 'this router has not read the configuration yet',
   step: 'callers.enter',
@@ -42,7 +42,7 @@
   retryAfterMs: DEFAULT_RETRY_AFTER_MS
 })
 
-const shareHeld = (context: ServeContext, resendCount: number): RefusalNote => notRun({
+const shareRefusal = (context: ServeContext, resendCount: number): RefusalNote => notRun({
   reason: RefusalReason.RATE_LIMITED,
   detail: 'the caller holds its share of this router\'s places',
   step: 'callers.share',
@@ -50,33 +50,33 @@
 })
 
 const refuse = ({ context, fields, resendCount }: OpenOptions, note: RefusalNote): AnswerPart => {
-  const told = correctRunState(note, resendCount)
-  reportRefusal(context, told, fields)
-  return { kind: 'refusal', note: told }
+  const corrected = correctRunState(note, resendCount)
+  reportRefusal(context, corrected, fields)
+  return { kind: 'refusal', note: corrected }
 }
 
-/** Takes a request in from outside: through the gate, checked, served. Every way out ends in a `final` or a `refusal`. */
+/** Admits, validates and serves an incoming request. The answer always ends with a `final` or a `refusal`. */
 export const openRequest = async function * (options: OpenOptions): AsyncGenerator<AnswerPart> {
   const { context, gate, admit, signal } = options
   const verdict = gate.enter()
-  if (verdict !== 'admitted') return yield refuse(options, turnedAway(context, verdict, options.resendCount))
+  if (verdict !== 'admitted') return yield refuse(options, gateRefusal(context, verdict, options.resendCount))
   let hasLeft = false
-  let holder: CallerName | undefined
+  let sharingCaller: CallerName | undefined
   const leave = (): void => {
     if (hasLeft) return
     hasLeft = true
     gate.leave()
-    if (holder !== undefined) context.shares.leave(holder)
+    if (sharingCaller !== undefined) context.shares.leave(sharingCaller)
   }
   signal.addEventListener('abort', leave, { once: true })
   try {
-    if (!context.records.isReady()) return yield refuse(options, notReady())
+    if (!context.records.isReady()) return yield refuse(options, notReadyRefusal())
     const admitted = await admit()
     if (admitted.isLeft()) return yield refuse(options, admitted.swap().unsafeCoerce())
     const request = admitted.unsafeCoerce()
     const { caller, share } = request.run
-    if (!context.shares.enter(caller, share)) return yield refuse(options, shareHeld(context, options.resendCount))
-    holder = caller
+    if (!context.shares.enter(caller, share)) return yield refuse(options, shareRefusal(context, options.resendCount))
+    sharingCaller = caller
     yield * serveRequest(context, request, signal)
   } finally {
     signal.removeEventListener('abort', leave)
