--- a/packages/router/src/peers/createExchange.ts
+++ b/packages/router/src/peers/createExchange.ts
@@ -43,7 +43,7 @@
   }
 
   const hearSuspicion = (peer: string, suspicion: Suspicion): void => {
-    if (!suspects.hear(suspicion)) return
+    if (!suspects.addFromPeer(suspicion)) return
     events.emit(RouterEvent.suspectHeard, { peer, reason: suspicion.deathId, count: suspicion.fingerprints.length })
     spread(suspicion, peer)
   }
--- a/packages/router/src/requests/serveRequest.test.ts
+++ b/packages/router/src/requests/serveRequest.test.ts
@@ -150,7 +150,7 @@
   // crashes before the log does: after two crashes the request must be refused.
   it('is refused after it has crashed backend servers', async () => {
     const bench = createBench({ a1: answering })
-    for (const deathId of ['d1', 'd2']) bench.context.suspects.hear({ fingerprints: ['f'], deathId, instance: 'a1' as never })
+    for (const deathId of ['d1', 'd2']) bench.context.suspects.addFromPeer({ fingerprints: ['f'], deathId, instance: 'a1' as never })
     const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted(), never)))
     expect(parts.at(-1)).to.have.nested.include({ 'note.reason': RefusalReason.QUARANTINED, 'note.retryAfterMs': 0 })
     expect(bench.agentOf('a1').heardOf('start')).to.have.length(0)
