--- a/packages/router/src/routing/buildCandidates.test.ts
+++ b/packages/router/src/routing/buildCandidates.test.ts
@@ -14,7 +14,7 @@
 
 const namesOf = (sources: RoutingSources, query: CandidateQuery): readonly string[] => buildCandidates(sources, query).map(candidate => candidate.instance)
 
-describe('routing candidates', () => {
+describe('candidates', () => {
   it('exclude agents that are drained, leaving, gone or already tried', () => {
     const bench = createBench({ a1: () => {}, a2: () => {} })
     const query: CandidateQuery = { replicas: findReplicaRights(bench.records.state(), MODEL), adapter: '', coldStartMs: 1, excluded: new Set() }
