--- a/packages/router/src/voids/constants.ts
+++ b/packages/router/src/voids/constants.ts
@@ -1,11 +1,11 @@
-/** Pause between looks at engines whose instances are off the list. */
-export const LOOK_MS = 2_000
+/** Interval between checks of engines whose instances are no longer listed by the platform. */
+export const CHECK_PERIOD_MS = 2_000
 
-/** Time for one call to such an engine. */
-export const CALL_MS = 2_000
+/** Timeout of one call to such an engine. */
+export const CALL_TIMEOUT_MS = 2_000
 
 /**
- * An instance whose address this router never read counts as unreachable after this long off the
- * list: four times what a void needs, so that a router that knows the address comes first.
+ * Time off the list after which an instance with an unknown address counts as unreachable. This is
+ * four times what a void requires, so that a router that has the address acts first.
  */
 export const UNKNOWN_ADDRESS_MS = 120_000
--- a/packages/router/src/voids/evictEngine.test.ts
+++ b/packages/router/src/voids/evictEngine.test.ts
@@ -31,20 +31,20 @@
   }
 }
 
-describe('engine of an instance that is off the list', () => {
-  // A rack loses its network to the platform's list, but its engines still answer and have their
-  // models loaded. A void now would let another engine load a replica too many.
-  it('forbids a void while it may still hold a replica', async () => {
+describe('engine of an unlisted instance', () => {
+  // A rack is missing from the platform's list, but its engines still answer and have their models
+  // loaded. A void would let another engine load one replica too many.
+  it('prevents a void while it may still hold a replica', async () => {
     expect(await evictEngine(engineOf({ answers: true, enforcesFence: true, unloads: false }), eviction)).to.equal('reachable')
-    const careless = engineOf({ answers: true, enforcesFence: false, unloads: true })
-    expect(await evictEngine(careless, eviction)).to.equal('reachable')
-    expect(careless.fences).to.deep.equal([])
+    const unfenced = engineOf({ answers: true, enforcesFence: false, unloads: true })
+    expect(await evictEngine(unfenced, eviction)).to.equal('reachable')
+    expect(unfenced.fences).to.deep.equal([])
   })
 
-  it('allows a void when it is gone, or has unloaded under the newer fence', async () => {
+  it('allows a void if it is unreachable or has unloaded under the newer fence', async () => {
     expect(await evictEngine(engineOf({ answers: false, enforcesFence: true, unloads: true }), eviction)).to.equal('unreachable')
-    const obedient = engineOf({ answers: true, enforcesFence: true, unloads: true })
-    expect(await evictEngine(obedient, eviction)).to.equal('fenced')
-    expect(obedient.fences).to.deep.equal([9])
+    const fenced = engineOf({ answers: true, enforcesFence: true, unloads: true })
+    expect(await evictEngine(fenced, eviction)).to.equal('fenced')
+    expect(fenced.fences).to.deep.equal([9])
   })
 })
--- a/packages/router/src/voids/openAbsentEngine.ts
+++ b/packages/router/src/voids/openAbsentEngine.ts
@@ -3,21 +3,21 @@
 import { createTransport, faultFrom } from '@figmount/base'
 import { Engine } from '@figmount/schema'
 
-import { CALL_MS } from './constants.js'
+import { CALL_TIMEOUT_MS } from './constants.js'
 
 import type { AbsentEngine } from './types.js'
 
-/** Deadline that the unload order itself carries. */
-const ORDER_MS = 1_500
+/** Deadline sent to the engine with the unload order. */
+const ORDER_DEADLINE_MS = 1_500
 
-/** Calls the engine at `address` by RPC. */
+/** Creates an RPC client for the engine at `address`. */
 export const openAbsentEngine = (address: string): AbsentEngine => {
   const client = createClient(Engine, createTransport({ address }))
   return {
-    inventory: () => EitherAsync(async () => await client.inventory({}, { timeoutMs: CALL_MS }))
+    inventory: () => EitherAsync(async () => await client.inventory({}, { timeoutMs: CALL_TIMEOUT_MS }))
       .mapLeft(faultFrom('voids.inventory', address))
       .map(({ models, enforcesFence }) => ({ models: models.map(entry => entry.model), enforcesFence })),
-    unload: (model, fence) => EitherAsync(async () => await client.unload({ model, fence: BigInt(fence), orderDeadlineMs: ORDER_MS }, { timeoutMs: CALL_MS }))
+    unload: (model, fence) => EitherAsync(async () => await client.unload({ model, fence: BigInt(fence), orderDeadlineMs: ORDER_DEADLINE_MS }, { timeoutMs: CALL_TIMEOUT_MS }))
       .mapLeft(faultFrom('voids.unload', address))
       .map(() => undefined)
   }
--- a/packages/router/src/voids/types.ts
+++ b/packages/router/src/voids/types.ts
@@ -1,23 +1,23 @@
 import type { EitherAsync } from 'purify-ts'
 import type { Fault, InstanceName, LogOffset, ModelId } from '@figmount/base'
 
-/** The part of an engine's inventory that a void rests on. */
+/** The part of an engine's inventory that decides whether rights may be voided. */
 export interface EngineInventory {
   readonly models: readonly string[]
   readonly enforcesFence: boolean
 }
 
-/** The calls to the engine of an instance that is off the list. */
+/** Client for the engine of an instance that is no longer on the platform's list. */
 export interface AbsentEngine {
   readonly inventory: () => EitherAsync<Fault, EngineInventory>
   readonly unload: (model: string, fence: LogOffset) => EitherAsync<Fault, void>
 }
 
-/** An engine that is to give up everything it holds for an instance. */
+/** Order to an engine to unload everything that an instance has rights for. */
 export interface Eviction {
   readonly instance: InstanceName
-  /** Models that the instance holds rights for, loaded or not: each gets the newer fence. */
+  /** Models that the instance holds rights for, whether loaded or not; each is unloaded under the newer fence. */
   readonly models: readonly ModelId[]
-  /** Above the fence of every grant so far, not above that of any later one. */
+  /** Higher than the fence of every grant so far, but not than that of later grants. */
   readonly fence: LogOffset
 }
--- a/packages/router/src/voids/watchAbsentEngines.ts
+++ b/packages/router/src/voids/watchAbsentEngines.ts
@@ -2,7 +2,7 @@
 import { findAbsent, shouldPropose } from '@figmount/records'
 
 import { RouterEvent } from '../events.js'
-import { LOOK_MS, UNKNOWN_ADDRESS_MS } from './constants.js'
+import { CHECK_PERIOD_MS, UNKNOWN_ADDRESS_MS } from './constants.js'
 import { evictEngine } from './evictEngine.js'
 
 import type { EventLog, InstanceName, LogOffset, ModelId, TimerService } from '@figmount/base'
@@ -16,7 +16,7 @@
   readonly records: RecordsClient
   readonly membership: Membership
   readonly links: AgentLinks
-  /** Routers among which the turn to propose is drawn. */
+  /** Routers that take turns in making proposals. */
   readonly proposers: () => readonly InstanceName[]
   readonly openEngine: (address: string) => AbsentEngine
   readonly timers: TimerService
@@ -24,9 +24,9 @@
   readonly signal: AbortSignal
 }
 
-/** What is known of the engines of instances that are off the list. */
+/** Reachability of the engines of instances that are no longer on the platform's list. */
 export interface AbsentEngines {
-  /** `reachable`, which forbids a void, until a look has shown otherwise. */
+  /** `reachable`, which prevents a void, until a check has shown otherwise. */
   readonly reachOf: (instance: InstanceName) => EngineReach
   readonly run: () => Promise<void>
 }
@@ -38,38 +38,38 @@
   fence: state.nextOffset as LogOffset
 })
 
-/** Looks after the engines of instances that are off the list, before rights are voided. */
+/** Periodically checks the engines of unlisted instances, which must be evicted before rights are voided. */
 export const watchAbsentEngines = (options: Options): AbsentEngines => {
   const { instance: own, records, membership, links, timers, events, signal } = options
-  let reaches: ReadonlyMap<InstanceName, EngineReach> = new Map()
+  let reachByInstance: ReadonlyMap<InstanceName, EngineReach> = new Map()
 
-  const lookAt = async (instance: InstanceName): Promise<EngineReach> => {
+  const checkEngine = async (instance: InstanceName): Promise<EngineReach> => {
     const state = records.state()
-    // The agent itself answers: it is off the list by mistake, or not yet gone.
+    // The agent itself is connected: it was dropped from the list by mistake or has not stopped yet.
     if (links.viewOf(instance)?.isOpen) return 'reachable'
-    // A plain service holds no replica, and its agent's authority over keys ends by itself.
+    // A plain service holds no replicas, and its agent's keys right expires without a void.
     if (state.agents.get(instance)?.backendKind === 'plain') return 'unreachable'
     const address = membership.backendAddressOf(instance)
     if (!address) return membership.absentForMs(instance) >= UNKNOWN_ADDRESS_MS ? 'unreachable' : 'reachable'
     return await evictEngine(options.openEngine(address), evictionOf(state, instance))
   }
 
-  const lookAtAll = async (): Promise<void> => {
+  const checkEngines = async (): Promise<void> => {
     const routers = options.proposers()
     const absent = findAbsent(records.state(), membership.absences()).filter(instance => shouldPropose(instance, routers, own, timers.unixMs()))
-    const found = await Promise.all(absent.map(async instance => [instance, await lookAt(instance)] as const))
+    const found = await Promise.all(absent.map(async instance => [instance, await checkEngine(instance)] as const))
     for (const [instance, reach] of found) {
-      if (reaches.get(instance) !== reach) events.emit(RouterEvent.absentEngineSeen, { peer: instance, reason: reach })
+      if (reachByInstance.get(instance) !== reach) events.emit(RouterEvent.absentEngineSeen, { peer: instance, reason: reach })
     }
-    reaches = new Map(found)
+    reachByInstance = new Map(found)
   }
 
   return {
-    reachOf: instance => reaches.get(instance) ?? 'reachable',
+    reachOf: instance => reachByInstance.get(instance) ?? 'reachable',
     run: async () => {
       while (!signal.aborted) {
-        await lookAtAll()
-        await sleep(timers, LOOK_MS, signal)
+        await checkEngines()
+        await sleep(timers, CHECK_PERIOD_MS, signal)
       }
     }
   }
