--- a/packages/router/src/proposals/createProposerList.test.ts
+++ b/packages/router/src/proposals/createProposerList.test.ts
@@ -6,10 +6,10 @@
 
 const names = (...texts: string[]): readonly InstanceName[] => texts as readonly string[] as readonly InstanceName[]
 
-describe('routers that may propose', () => {
-  // One of two routers is cut off from the log while new models are configured. Rights whose turn is
-  // its own must be granted by the other one, and callers of these models wait for it.
-  it('leave out those that cannot, but never the own one', () => {
+describe('list of proposing routers', () => {
+  // One of two routers is disconnected from the log while new models are configured. The other router must
+  // grant the rights for which it is the other one's turn, because callers of these models are waiting.
+  it('excludes routers that cannot propose, but never the own one', () => {
     const cut = new Set<string>()
     const proposers = createProposerList({ own: 'r1' as InstanceName, listed: () => names('r1', 'r2', 'r3'), cannotPropose: peer => cut.has(peer) })
     const all = proposers()
--- a/packages/router/src/proposals/isLogFresh.ts
+++ b/packages/router/src/proposals/isLogFresh.ts
@@ -1,9 +1,9 @@
 import type { TimerService } from '@figmount/base'
 import type { RecordsClient } from '@figmount/records'
 
-/** A router whose log has not answered for this long proposes nothing: its view may be old. */
-const FRESH_MS = 5_000
+/** Age of the last confirmed read of the log above which a router makes no proposals: its state may be outdated. */
+const MAX_LOG_AGE_MS = 5_000
 
-/** Whether a router's view of the log is new enough to propose by. */
+/** True if this router's state of the log is recent enough to make proposals. */
 export const isLogFresh = (records: RecordsClient, timers: TimerService): boolean =>
-  records.isReady() && timers.nowMs() - records.confirmedAtMs() < FRESH_MS
+  records.isReady() && timers.nowMs() - records.confirmedAtMs() < MAX_LOG_AGE_MS
--- a/packages/router/src/proposals/runProposer.ts
+++ b/packages/router/src/proposals/runProposer.ts
@@ -14,24 +14,24 @@
   readonly instance: InstanceName
   readonly records: RecordsClient
   readonly membership: Membership
-  /** Routers among which the turn to propose is drawn. */
+  /** Routers that take turns in making proposals. */
   readonly proposers: () => readonly InstanceName[]
   readonly proposeRights: ProposeRights
-  /** What the engines of instances that are off the list have last said. */
+  /** Last known reachability of the engine of an unlisted instance. */
   readonly engineOf: (instance: InstanceName) => EngineReach
-  /** Whether an agent has told that it takes no new work. */
+  /** True if an agent has announced that it accepts no new work. */
   readonly isStopping: (instance: InstanceName) => boolean
-  /** Whether an agent has last reported a model as loaded or loading. */
+  /** True if an agent's last report lists a model as loaded or loading. */
   readonly isLoaded: MoveFacts['isLoaded']
   readonly timers: TimerService
   readonly events: EventLog
   readonly signal: AbortSignal
 }
 
-/** Longest pause between rounds; shorter when something has changed. */
-const ROUND_MS = 500
-/** Changes that come within this time are answered by one round. */
-const GATHER_MS = 25
+/** Maximum time between rounds; a change of the state starts one earlier. */
+const MAX_ROUND_INTERVAL_MS = 500
+/** Changes within this time are covered by one round. */
+const DEBOUNCE_MS = 25
 
 const findProposals = ({ instance, records, membership, proposers, proposeRights, engineOf, isStopping, isLoaded, timers }: Options): readonly NewRecord[] => {
   const routers = proposers()
@@ -44,7 +44,7 @@
   ]
 }
 
-/** Proposes rights and voids in rounds until `signal` aborts; a round waits until its records were read back. */
+/** Proposes rights and voids in rounds until `signal` aborts. A round ends when its records were read back from the log. */
 export const runProposer = async (options: Options): Promise<void> => {
   const { records, timers, signal } = options
   const changes = createMailbox<true>(timers, 1)
@@ -52,7 +52,7 @@
   while (!signal.aborted) {
     const proposals = isLogFresh(records, timers) ? findProposals(options) : []
     await Promise.all(proposals.map(async record => await submitProposal(options, record)))
-    if (await changes.take(ROUND_MS, signal)) await sleep(timers, GATHER_MS, signal)
+    if (await changes.take(MAX_ROUND_INTERVAL_MS, signal)) await sleep(timers, DEBOUNCE_MS, signal)
   }
   unsubscribe()
 }
--- a/packages/router/src/proposals/submitProposal.ts
+++ b/packages/router/src/proposals/submitProposal.ts
@@ -19,7 +19,7 @@
   .with({ kind: 'instance.void' }, ({ kind, instance }) => ({ step: kind, peer: instance }))
   .otherwise(({ kind }) => ({ step: kind }))
 
-/** Appends a proposal and reports what became of it. */
+/** Appends a proposal to the log and emits an event with the outcome. */
 export const submitProposal = async ({ records, events }: Options, record: NewRecord): Promise<void> => {
   const result = await records.append(record).run()
   const reason = result.caseOf({
