--- a/packages/router/src/links/createAgentLink.test.ts
+++ b/packages/router/src/links/createAgentLink.test.ts
@@ -20,7 +20,7 @@
     expect(link.view().isOpen).to.equal(false)
   })
 
-  it('is closed as the longest idle one beyond the bound', async () => {
+  it('is closed if it is the longest idle link above the limit', async () => {
     const names = Array.from({ length: MAX_IDLE_LINKS + 1 }, (_, index) => `a${index}`)
     const bench = createBench(Object.fromEntries(names.map(name => [name, () => {}])))
     for (const name of names) {
@@ -31,10 +31,9 @@
     expect(bench.links.views().filter(view => !view.isOpen).map(view => view.instance)).to.deep.equal(['a0'])
   })
 
-  // A large site at its peak: every router has hundreds of links on which answers stream. Each
-  // shows that it is alive by what flows on it; a heartbeat on each besides takes 30 times the
-  // bytes that control may cost.
-  it('is not asked for a report more often than all links together may', async () => {
+  // At peak load a router has hundreds of links on which answers stream. That traffic already keeps them
+  // alive; an additional heartbeat on each link would take 30 times the bytes allowed for control traffic.
+  it('limits report requests to a total rate over all links', async () => {
     const names = Array.from({ length: 100 }, (_, index) => `a${index}`)
     const bench = createBench(Object.fromEntries(names.map(name => [name, () => {}])))
     const channels = await Promise.all(names.map(async name => {
@@ -42,7 +41,7 @@
       await bench.finish(link.whenOpen(1_000).run())
       return link.openAttempt(`r1/1/${name}` as AttemptId, () => 0)
     }))
-    const beats = (): number => names.reduce((sum, name) => sum + bench.agentOf(name).heardOf('heartbeat').length, 0)
+    const heartbeatCount = (): number => names.reduce((sum, name) => sum + bench.agentOf(name).heardOf('heartbeat').length, 0)
     const flow = async (seconds: number): Promise<void> => {
       for (let tick = 0; tick < seconds * 2; tick += 1) {
         for (const channel of channels) channel.send({ type: 'ack', attemptId: ATTEMPT, belowFrame: tick })
@@ -50,15 +49,15 @@
       }
     }
     await flow(2)
-    const before = beats()
+    const before = heartbeatCount()
     await flow(20)
-    expect(beats() - before).to.be.within(100, 20 * REPORTS_PER_SECOND)
-    const silentBefore = beats()
+    expect(heartbeatCount() - before).to.be.within(100, 20 * REPORTS_PER_SECOND)
+    const silentBefore = heartbeatCount()
     await bench.settle(2_000)
-    expect(beats() - silentBefore, 'links on which nothing is sent any more').to.be.at.least(100)
+    expect(heartbeatCount() - silentBefore, 'links on which nothing is sent any more').to.be.at.least(100)
   })
 
-  it('tells who waits that the agent cannot be reached', async () => {
+  it('reports an unreachable agent to waiting requests', async () => {
     const bench = createBench({ a1: () => {} })
     bench.agentOf('a1').setDown(true)
     const opened = await bench.finish(bench.links.linkTo(A1).whenOpen(1_000).run())
@@ -66,9 +65,9 @@
     expect(bench.links.viewOf(A1)?.unreachableSinceMs).to.be.a('number')
   })
 
-  // The link is cut while a request runs that may not be repeated. A start that is sent again
-  // on the new link could run it twice, so only a question may go out.
-  it('asks on a new link for every attempt that was begun, and begins none again', async () => {
+  // The link is cut while a non-repeatable request runs. A second `start` on the new link could run the
+  // request twice, so only `resume` may be sent.
+  it('resumes every started attempt on a new link and starts none again', async () => {
     const bench = createBench({ a1: () => {} })
     const link = bench.links.linkTo(A1)
     await bench.finish(link.whenOpen(1_000).run())
@@ -82,9 +81,9 @@
     expect(bench.agentOf('a1').heardOf('resume')).to.deep.equal([{ type: 'resume', attemptId: ATTEMPT, fromFrame: 7 }])
   })
 
-  // A caller reads slowly while its answer streams on. The router must not hold the answer in
-  // its memory: frames beyond the bound are dropped here and kept by the agent.
-  it('drops frames that a slow reader leaves and says so when it has caught up', async () => {
+  // A caller reads slowly while its answer streams. The router must not buffer the whole answer: frames
+  // above the limit are dropped here and stay stored at the agent.
+  it('drops frames for a slow reader and reports the overflow once the reader has caught up', async () => {
     const bench = createBench({ a1: () => {} })
     const link = bench.links.linkTo(A1)
     await bench.finish(link.whenOpen(1_000).run())
@@ -98,8 +97,8 @@
     expect(channel.hasOverflowed()).to.equal(false)
   })
 
-  // An agent of a newer build sends a message that this one does not know. The link goes on.
-  it('outlives a message that it does not know', async () => {
+  // An agent of a newer version sends a message type that this version does not have. The link must stay open.
+  it('stays open after an unknown message', async () => {
     const bench = createBench({ a1: () => {} })
     const link = bench.links.linkTo(A1)
     await bench.finish(link.whenOpen(1_000).run())
@@ -111,9 +110,9 @@
     expect(bench.events.recent().some(event => event.name === 'badInput' && event.detail === 'news')).to.equal(true)
   })
 
-  // The platform restarts an agent's process in the same slot after it has said that it leaves.
-  // Its old word must not keep new work away from it for good.
-  it('forgets that an agent was leaving when it starts anew', async () => {
+  // The platform restarts an agent's process in the same slot after the agent announced that it leaves.
+  // The outdated announcement must not keep new work away from it.
+  it('clears the leaving state of an agent some time after its link has closed', async () => {
     const bench = createBench({ a1: () => {} })
     const link = bench.links.linkTo(A1)
     await bench.finish(link.whenOpen(1_000).run())
--- a/packages/router/src/links/createAgentLink.ts
+++ b/packages/router/src/links/createAgentLink.ts
@@ -5,8 +5,8 @@
 
 import { createMailbox } from '../answers/createMailbox.js'
 import { RouterEvent } from '../events.js'
-import { FIRST_BACKOFF_MS, IDLE_LINK_MS, LEAVING_MEMORY_MS, MAILBOX_FRAME_COUNT, MAX_BACKOFF_MS } from './constants.js'
-import { takeSafely } from './takeSafely.js'
+import { FIRST_BACKOFF_MS, IDLE_LINK_MS, LEAVING_EXPIRY_MS, MAILBOX_FRAME_COUNT, MAX_BACKOFF_MS } from './constants.js'
+import { receiveSafely } from './receiveSafely.js'
 
 import type { Either } from 'purify-ts'
 import type { AttemptId, EventLog, Fault, Incarnation, InstanceName, TimerService } from '@figmount/base'
@@ -22,9 +22,9 @@
   readonly hooks: LinkHooks
   readonly timers: TimerService
   readonly events: EventLog
-  /** Yields numbers in [0, 1), to spread dialling after a common failure. */
+  /** Returns random numbers in [0, 1), used as jitter for dials after a common failure. */
   readonly random: () => number
-  /** Age from which a report is asked for although other messages flow; grows with the number of links. */
+  /** Age above which a report is requested although other messages are sent; grows with the number of links. */
   readonly reportPeriodMs: () => number
 }
 
@@ -33,17 +33,17 @@
 interface OpenAttempt {
   readonly mailbox: Mailbox<AttemptNotice>
   readonly nextFrame: () => number
-  begun: boolean
+  isBegun: boolean
 }
 
 /**
- * The connection to one agent. One task dials, greets, reads and dials again with
- * back-off for as long as somebody needs the agent, then lets the connection go.
+ * Creates the link to one agent. One task dials, performs the handshake, reads messages and redials
+ * with backoff while the agent is in use, then lets the connection close.
  */
 export const createAgentLink = (options: AgentLinkOptions): AgentLink => {
   const { instance, timers, events, hooks } = options
   const attempts = new Map<AttemptId, OpenAttempt>()
-  const asks = new Map<number, (reply: PermitReply) => void>()
+  const pendingPermits = new Map<number, (reply: PermitReply) => void>()
   const openWaiters = new Set<(result: Either<Fault, AgentView>) => void>()
   const reportWaiters = new Set<() => void>()
   let view: AgentView = {
@@ -68,7 +68,7 @@
   let nextAskId = 0
 
   const isWanted = (): boolean =>
-    !isStopped && (attempts.size > 0 || asks.size > 0 || openWaiters.size > 0 || timers.nowMs() - lastUsedMs < IDLE_LINK_MS)
+    !isStopped && (attempts.size > 0 || pendingPermits.size > 0 || openWaiters.size > 0 || timers.nowMs() - lastUsedMs < IDLE_LINK_MS)
 
   const send = (message: ToAgent): boolean => {
     if (!link?.isOpen()) return false
@@ -81,7 +81,7 @@
     for (const settle of [...openWaiters]) settle(result)
   }
 
-  const takeReport = (report: AgentReport, incarnation: Incarnation | undefined): void => {
+  const applyReport = (report: AgentReport, incarnation: Incarnation | undefined): void => {
     const isOlder = view.report && view.incarnation === incarnation && report.sequence <= view.report.sequence
     if (isOlder) return
     const nowMs = timers.nowMs()
@@ -89,18 +89,18 @@
     view = { ...view, report: mergeReport(view.report, report), incarnation, reportAtMs: nowMs, intervalAtMs: hasNewInterval ? nowMs : view.intervalAtMs }
   }
 
-  // Guards against running a request twice: whatever was sent on a broken connection may have
-  // arrived, so the new one asks what became of each attempt instead of sending it again.
+  // A message sent on a broken connection may have arrived, so the new connection resumes each attempt instead of
+  // sending its start again. This prevents a request from running twice.
   const resumeAttempts = (): void => {
     for (const [attemptId, attempt] of attempts) {
-      if (!attempt.begun) continue
+      if (!attempt.isBegun) continue
       const fromFrame = attempt.nextFrame()
       send({ type: 'resume', attemptId, fromFrame })
       events.emit(RouterEvent.attemptResumed, { attemptId, peer: instance, count: fromFrame })
     }
   }
 
-  const takeWelcome = (welcome: Extract<FromAgent, { type: 'welcome' }>): void => {
+  const applyWelcome = (welcome: Extract<FromAgent, { type: 'welcome' }>): void => {
     const isNewIncarnation = view.incarnation !== welcome.incarnation
     view = {
       ...view,
@@ -111,7 +111,7 @@
       unreachableSinceMs: undefined,
       leavingUntilMs: isNewIncarnation ? -Infinity : view.leavingUntilMs
     }
-    takeReport(welcome.report, welcome.incarnation)
+    applyReport(welcome.report, welcome.incarnation)
     failedDialCount = 0
     events.emit(RouterEvent.agentReached, { peer: instance })
     resumeAttempts()
@@ -128,15 +128,15 @@
   }
 
   const handle = (message: FromAgent): void => match(message)
-    // First what comes most: the patterns are tried in order.
+    // Most frequent messages first: the patterns are tried in order.
     .with({ type: 'tokens' }, { type: 'final' }, { type: 'progress' }, { type: 'refused' }, { type: 'unknown' }, deliver)
-    .with({ type: 'welcome' }, takeWelcome)
+    .with({ type: 'welcome' }, applyWelcome)
     .with({ type: 'heartbeat.ack' }, ({ report }) => {
       for (const settle of [...reportWaiters]) settle()
-      if (report) return takeReport(report, view.incarnation)
+      if (report) return applyReport(report, view.incarnation)
       view = { ...view, reportAtMs: timers.nowMs() }
     })
-    .with({ type: 'permit.reply' }, ({ askId, reply }) => { asks.get(askId)?.(reply) })
+    .with({ type: 'permit.reply' }, ({ askId, reply }) => { pendingPermits.get(askId)?.(reply) })
     .with({ type: 'leaving' }, leaving => {
       view = { ...view, leavingUntilMs: Infinity }
       events.emit(RouterEvent.agentLeaving, { peer: instance })
@@ -145,35 +145,35 @@
     .with({ type: 'records' }, { type: 'records.ask' }, { type: 'suspect' }, shared => hooks.onShared(instance, shared))
     .exhaustive()
 
-  // The agent gives a link up on which it hears nothing; any message of the last period will do.
-  const isHeard = (): boolean => timers.nowMs() - lastSentMs < HEARTBEAT_MS
+  // The agent closes a link on which it receives nothing; any message within the last period keeps it open.
+  const hasSentRecently = (): boolean => timers.nowMs() - lastSentMs < HEARTBEAT_MS
 
   const isReportFresh = (): boolean => timers.nowMs() - view.reportAtMs < options.reportPeriodMs()
 
-  const beat = (): void => {
+  const sendHeartbeatIfDue = (): void => {
     if (!isWanted()) return link?.close('idle')
-    if (isHeard() && isReportFresh()) return
+    if (hasSentRecently() && isReportFresh()) return
     send({ type: 'heartbeat', sentAtMs: timers.nowMs() })
   }
 
   const runConnection = async (opened: OpenLink): Promise<void> => {
     link = opened
     send({ type: 'hello', instance: options.router, incarnation: options.routerIncarnation, role: 'router' })
-    const stopBeating = timers.every(HEARTBEAT_MS, beat)
-    for await (const message of opened.received) takeSafely(events, instance, message, handle)
-    stopBeating()
+    const stopHeartbeats = timers.every(HEARTBEAT_MS, sendHeartbeatIfDue)
+    for await (const message of opened.received) receiveSafely(events, instance, message, handle)
+    stopHeartbeats()
     link = undefined
     downSinceMs = timers.nowMs()
-    const leavingUntilMs = Math.min(view.leavingUntilMs, downSinceMs + LEAVING_MEMORY_MS)
+    const leavingUntilMs = Math.min(view.leavingUntilMs, downSinceMs + LEAVING_EXPIRY_MS)
     view = { ...view, isOpen: false, leavingUntilMs }
   }
 
-  const noticeDown = (): void => {
+  const notifyLinkDown = (): void => {
     const downMs = timers.nowMs() - downSinceMs
     for (const { mailbox } of attempts.values()) mailbox.push({ type: 'link.down', downMs, failedDialCount })
   }
 
-  const noticeFailedDial = (fault: Fault): void => {
+  const recordFailedDial = (fault: Fault): void => {
     failedDialCount += 1
     if (view.unreachableSinceMs === undefined) {
       view = { ...view, unreachableSinceMs: timers.nowMs() }
@@ -195,21 +195,21 @@
         hooks.onOffset(instance, offset)
       }).run()
       if (dialled.isRight()) await runConnection(dialled.unsafeCoerce())
-      else noticeFailedDial(dialled.swap().unsafeCoerce())
-      noticeDown()
+      else recordFailedDial(dialled.swap().unsafeCoerce())
+      notifyLinkDown()
       if (isWanted()) await sleep(timers, backOffMs())
     }
     isRunning = false
   }
 
-  const want = (): void => {
+  const ensureRunning = (): void => {
     lastUsedMs = timers.nowMs()
     if (isRunning || isStopped) return
     isRunning = true
     runInBackground(events, 'links.run', run())
   }
 
-  const waitOpen = async (waitMs: number): Promise<Either<Fault, AgentView>> =>
+  const waitUntilOpen = async (waitMs: number): Promise<Either<Fault, AgentView>> =>
     await new Promise(resolve => {
       const settle = (result: Either<Fault, AgentView>): void => {
         cancel()
@@ -223,13 +223,13 @@
 
   const openAttempt = (attemptId: AttemptId, nextFrame: () => number): AttemptChannel => {
     const mailbox = createMailbox<AttemptNotice>(timers, MAILBOX_FRAME_COUNT)
-    const attempt: OpenAttempt = { mailbox, nextFrame, begun: false }
+    const attempt: OpenAttempt = { mailbox, nextFrame, isBegun: false }
     attempts.set(attemptId, attempt)
-    want()
+    ensureRunning()
     return {
       begin: message => {
-        attempt.begun = send(message)
-        return attempt.begun
+        attempt.isBegun = send(message)
+        return attempt.isBegun
       },
       send,
       take: mailbox.take,
@@ -241,23 +241,23 @@
     }
   }
 
-  const waitReply = async (askId: number, waitMs: number): Promise<PermitReply | undefined> =>
+  const waitForReply = async (askId: number, waitMs: number): Promise<PermitReply | undefined> =>
     await new Promise(resolve => {
       const settle = (reply?: PermitReply): void => {
         cancel()
-        asks.delete(askId)
+        pendingPermits.delete(askId)
         resolve(reply)
       }
       const cancel = timers.after(waitMs, settle)
-      asks.set(askId, settle)
+      pendingPermits.set(askId, settle)
     })
 
   return {
     view: () => view,
     whenOpen: waitMs => EitherAsync.fromPromise(async () => {
       if (isStopped) return Left(makeFault(FaultKind.Unavailable, 'links.whenOpen', instance, 'link is stopped'))
-      want()
-      return view.isOpen ? Right(view) : await waitOpen(waitMs)
+      ensureRunning()
+      return view.isOpen ? Right(view) : await waitUntilOpen(waitMs)
     }),
     refresh: async waitMs => await new Promise(resolve => {
       const settle = (): void => {
@@ -269,18 +269,18 @@
       reportWaiters.add(settle)
       send({ type: 'heartbeat', sentAtMs: timers.nowMs() })
     }),
-    keep: want,
+    keepOpen: ensureRunning,
     openAttempt,
     askPermit: (ask, waitMs) => EitherAsync.fromPromise(async () => {
-      want()
+      ensureRunning()
       const askId = nextAskId++
       const sent = send({ type: 'permit.ask', askId, ...ask })
       if (!sent) return Left(makeFault(FaultKind.Unavailable, 'links.askPermit', instance, 'no open connection'))
-      const reply = await waitReply(askId, waitMs)
+      const reply = await waitForReply(askId, waitMs)
       return reply ? Right(reply) : Left(makeFault(FaultKind.Timeout, 'links.askPermit', instance, 'no reply in time'))
     }),
     send,
-    idleSinceMs: () => view.isOpen && attempts.size === 0 && asks.size === 0 ? lastUsedMs : undefined,
+    idleSinceMs: () => view.isOpen && attempts.size === 0 && pendingPermits.size === 0 ? lastUsedMs : undefined,
     release: reason => {
       lastUsedMs = -Infinity
       link?.close(reason)
--- a/packages/router/src/links/createAgentLinks.ts
+++ b/packages/router/src/links/createAgentLinks.ts
@@ -7,30 +7,30 @@
 import type { AgentLinkOptions } from './createAgentLink.js'
 import type { AgentLink, AgentView } from './types.js'
 
-/** The links to all agents that this router has had to do with. */
+/** The links to all agents that this router has used. */
 export interface AgentLinks {
   readonly linkTo: (instance: InstanceName) => AgentLink
-  /** What is known of an agent; undefined if it was never needed. */
+  /** Last known state of an agent; undefined if no link to it was ever requested. */
   readonly viewOf: (instance: InstanceName) => AgentView | undefined
   readonly views: () => readonly AgentView[]
-  /** Ends links to agents that are gone for good. */
+  /** Stops and removes closed links to agents that are permanently gone. */
   readonly forget: (isGone: (instance: InstanceName) => boolean) => void
   readonly stop: () => void
 }
 
-/** Pause between looks for idle links beyond the bound. */
-const TRIM_MS = 1_000
+/** Interval between checks for idle links above the limit. */
+const TRIM_PERIOD_MS = 1_000
 
 const MS_PER_SECOND = 1000
 
-/** Makes the links of one router; none is open before it is needed. */
+/** Creates the links of one router; each is opened on demand. */
 export const createAgentLinks = (options: Omit<AgentLinkOptions, 'instance' | 'reportPeriodMs'>): AgentLinks => {
   const links = new Map<InstanceName, AgentLink>()
   let openCount = 0
 
   const reportPeriodMs = (): number => Math.max(HEARTBEAT_MS, openCount * MS_PER_SECOND / REPORTS_PER_SECOND)
 
-  const releaseLongestIdle = (): void => {
+  const closeSurplusIdleLinks = (): void => {
     const idle = [...links.values()].flatMap(link => {
       const sinceMs = link.idleSinceMs()
       return sinceMs === undefined ? [] : [{ link, sinceMs }]
@@ -40,17 +40,17 @@
     for (const { link } of idle.sort((a, b) => a.sinceMs - b.sinceMs).slice(0, surplus)) link.release('idle')
   }
 
-  const stopTrimming = options.timers.every(TRIM_MS, () => {
+  const stopTrimming = options.timers.every(TRIM_PERIOD_MS, () => {
     openCount = [...links.values()].filter(link => link.view().isOpen).length
-    releaseLongestIdle()
+    closeSurplusIdleLinks()
   })
 
   const linkTo = (instance: InstanceName): AgentLink => {
     const known = links.get(instance)
     if (known) return known
-    const made = createAgentLink({ ...options, instance, reportPeriodMs })
-    links.set(instance, made)
-    return made
+    const created = createAgentLink({ ...options, instance, reportPeriodMs })
+    links.set(instance, created)
+    return created
   }
 
   return {
--- a/packages/router/src/peers/createRouterPeers.ts
+++ b/packages/router/src/peers/createRouterPeers.ts
@@ -3,7 +3,7 @@
 import { HEARTBEAT_MS } from '@figmount/peers'
 
 import { RouterEvent } from '../events.js'
-import { takeSafely } from '../links/takeSafely.js'
+import { receiveSafely } from '../links/receiveSafely.js'
 import { ANNOUNCE_GATHER_MS, REDIAL_MS } from './constants.js'
 
 import type { EitherAsync } from 'purify-ts'
@@ -91,7 +91,7 @@
       beat(link)
     }
     const stopBeating = isDialler ? timers.every(HEARTBEAT_MS, () => beat(link)) : () => {}
-    for await (const message of link.received) takeSafely(events, link.peer, message, taken => handle(link, taken))
+    for await (const message of link.received) receiveSafely(events, link.peer, message, taken => handle(link, taken))
     stopBeating()
     links.delete(link)
   }
--- a/packages/router/src/requests/choosePlacement.ts
+++ b/packages/router/src/requests/choosePlacement.ts
@@ -28,7 +28,7 @@
 /** Opens links to the candidates so that the choice is based on current load reports. */
 const openLinks = async (context: ServeContext, candidates: readonly RoutingCandidate[], waitMs: number): Promise<void> => {
   const links = candidates.map(candidate => context.links.linkTo(candidate.instance))
-  for (const link of links) link.keep()
+  for (const link of links) link.keepOpen()
   const opening = links.filter(link => !link.view().isOpen).map(async link => await link.whenOpen(waitMs).run())
   if (opening.length === links.length) await Promise.all(opening)
   // Once some reports are available, the rest get only a short wait: an unresponsive agent must not delay the request.
--- a/packages/router/src/router/createStatusSources.ts
+++ b/packages/router/src/router/createStatusSources.ts
@@ -36,7 +36,7 @@
   for (const [name, listed] of options.membership.list().instances) {
     if (listed.role !== 'agent' || soughtCount >= MAX_SOUGHT_AGENTS) continue
     if (appliedOffsetOf(options, name)) continue
-    options.links.linkTo(name).keep()
+    options.links.linkTo(name).keepOpen()
     soughtCount += 1
   }
 }
