--- a/packages/router/src/membership/pollInstances.ts
+++ b/packages/router/src/membership/pollInstances.ts
@@ -20,7 +20,7 @@
   readonly onRead: (list: InstanceList) => void
 }
 
-/** Pause between reads. The list itself lags by seconds, so a faster poll brings nothing. */
+/** Interval between reads. The list itself lags by seconds, so a shorter interval gains nothing. */
 const POLL_MS = 1_000
 const READ_TIMEOUT_MS = 2_000
 
@@ -42,7 +42,7 @@
   }]
 }
 
-/** Reads the list by RPC from the platform. */
+/** Creates a function that reads the list from the platform by RPC. */
 export const readPlatformList = (address: string): ReadInstances => {
   const client = createClient(InstanceListService, createTransport({ address }))
   return () => EitherAsync(async () => await client.list({}, { timeoutMs: READ_TIMEOUT_MS }))
@@ -50,7 +50,7 @@
     .map(({ instances }) => instances.flatMap(listedOf))
 }
 
-/** Keeps the instance list up to date until `signal` aborts. A failed read leaves the last one in force. */
+/** Polls the instance list until `signal` aborts. After a failed read the last list stays in use. */
 export const pollInstances = async ({ read, timers, events, signal, onRead }: Options): Promise<void> => {
   let isReachable = true
   while (!signal.aborted) {
--- a/packages/router/src/membership/types.ts
+++ b/packages/router/src/membership/types.ts
@@ -1,6 +1,6 @@
 import type { DataCentre, InstanceName } from '@figmount/base'
 
-/** An instance as the platform's list has it. */
+/** An entry of the platform's instance list. */
 export interface ListedInstance {
   readonly name: InstanceName
   readonly role: 'router' | 'agent'
@@ -10,7 +10,7 @@
   readonly leaving: boolean
 }
 
-/** The platform's instance list as last read. It lags behind the truth. */
+/** The platform's instance list as last read. It lags behind the actual state. */
 export interface InstanceList {
   readonly instances: ReadonlyMap<InstanceName, ListedInstance>
   /** Monotonic times of the read; -Infinity before the first. */
--- a/packages/router/src/router/startTasks.ts
+++ b/packages/router/src/router/startTasks.ts
@@ -42,7 +42,7 @@
     events,
     signal,
     onRead: list => {
-      membership.takeList(list)
+      membership.updateList(list)
       network.peers.setNeighbours(pickNeighbours(instance, membership.routers()))
     }
   }))
