--- a/packages/router/src/peers/createExchange.ts
+++ b/packages/router/src/peers/createExchange.ts
@@ -1,7 +1,7 @@
 import { match } from 'ts-pattern'
 
 import { RouterEvent } from '../events.js'
-import { ASK_GRACE_MS, RECORDS_PER_MESSAGE } from './constants.js'
+import { RECORDS_REQUEST_DELAY_MS, RECORDS_PER_MESSAGE } from './constants.js'
 
 import type { EventLog, LogOffset, TimerService } from '@figmount/base'
 import type { RecordsClient } from '@figmount/records'
@@ -13,36 +13,36 @@
   readonly suspects: Suspects
   readonly timers: TimerService
   readonly events: EventLog
-  /** Passes a suspicion on to everybody this router has a link to, but for `from`. */
-  readonly spread: (suspicion: Suspicion, from: string) => void
+  /** Forwards a suspicion on all links except the one to `from`. */
+  readonly forwardSuspicion: (suspicion: Suspicion, from: string) => void
   readonly onLeaving: (peer: string) => void
 }
 
-/** What peers tell each other whatever their role: records, offsets, suspicions. */
+/** Exchange of records, offsets and suspicions with peers of either role. */
 export interface Exchange {
-  /** Hears of a peer's offset; asks for the records if the log does not bring them. */
-  readonly hearOffset: (offset: LogOffset, send: SendGossip) => void
+  /** Receives a peer's offset; requests the missing records from it if the log does not deliver them. */
+  readonly receiveOffset: (offset: LogOffset, send: SendGossip) => void
   readonly take: (peer: string, message: SharedMessage, send: SendGossip) => void
 }
 
 /**
- * Passes records and suspicions on between peers, so that a process that is cut off from the
- * log follows all the same. The fold only goes forward, so whatever comes late does no harm.
+ * Exchanges records and suspicions with peers, so that a process that is disconnected from the log
+ * still receives them. Records that arrive late are harmless, because the fold never goes back.
  */
-export const createExchange = ({ records, suspects, timers, events, spread, onLeaving }: Options): Exchange => {
-  let isAsking = false
-
-  const hearOffset = (offset: LogOffset, send: SendGossip): void => {
-    if (isAsking || offset <= records.state().nextOffset) return
-    isAsking = true
-    timers.after(ASK_GRACE_MS, () => {
-      isAsking = false
+export const createExchange = ({ records, suspects, timers, events, forwardSuspicion: spread, onLeaving }: Options): Exchange => {
+  let isRequestPending = false
+
+  const receiveOffset = (offset: LogOffset, send: SendGossip): void => {
+    if (isRequestPending || offset <= records.state().nextOffset) return
+    isRequestPending = true
+    timers.after(RECORDS_REQUEST_DELAY_MS, () => {
+      isRequestPending = false
       const { nextOffset } = records.state()
       if (offset > nextOffset) send({ type: 'records.ask', fromOffset: nextOffset })
     })
   }
 
-  const hearSuspicion = (peer: string, suspicion: Suspicion): void => {
+  const receiveSuspicion = (peer: string, suspicion: Suspicion): void => {
     if (!suspects.addFromPeer(suspicion)) return
     events.emit(RouterEvent.suspectHeard, { peer, reason: suspicion.deathId, count: suspicion.fingerprints.length })
     spread(suspicion, peer)
@@ -51,12 +51,12 @@
   const take = (peer: string, message: SharedMessage, send: SendGossip): void => match(message)
     .with({ type: 'records' }, ({ records: offered }) => records.offer(offered))
     .with({ type: 'records.ask' }, ({ fromOffset }) => {
-      const kept = records.rawFrom(fromOffset, RECORDS_PER_MESSAGE)
-      if (kept.length > 0) send({ type: 'records', records: kept })
+      const available = records.rawFrom(fromOffset, RECORDS_PER_MESSAGE)
+      if (available.length > 0) send({ type: 'records', records: available })
     })
-    .with({ type: 'suspect' }, suspicion => hearSuspicion(peer, suspicion))
+    .with({ type: 'suspect' }, suspicion => receiveSuspicion(peer, suspicion))
     .with({ type: 'leaving' }, () => onLeaving(peer))
     .exhaustive()
 
-  return { hearOffset, take }
+  return { receiveOffset, take }
 }
--- a/packages/router/src/peers/createRouterPeers.ts
+++ b/packages/router/src/peers/createRouterPeers.ts
@@ -4,7 +4,7 @@
 
 import { RouterEvent } from '../events.js'
 import { receiveSafely } from '../links/receiveSafely.js'
-import { ANNOUNCE_GATHER_MS, REDIAL_MS } from './constants.js'
+import { ANNOUNCE_DEBOUNCE_MS, REDIAL_MS } from './constants.js'
 
 import type { EitherAsync } from 'purify-ts'
 import type { EventLog, Fault, Incarnation, InstanceName, LogOffset, TimerService } from '@figmount/base'
@@ -20,31 +20,31 @@
   readonly ownOffset: () => LogOffset
   readonly isDraining: () => boolean
   readonly canPropose: () => boolean
-  /** Offsets at the agents that this router has a link to. */
+  /** Log offsets of the agents that this router has an open link to. */
   readonly agentOffsets: () => ReadonlyMap<InstanceName, LogOffset>
   readonly onShared: (peer: string, message: SharedMessage, link: RouterLink) => void
   readonly timers: TimerService
   readonly events: EventLog
 }
 
-/** The links between this router and others. */
+/** The links between this router and other routers. */
 export interface RouterPeers {
-  /** Dials these and no others; links that others have dialled stay. */
+  /** Sets the routers to dial. Links dialled by other routers are not affected. */
   readonly setNeighbours: (neighbours: readonly InstanceName[]) => void
-  /** Runs a link that another router has dialled. */
+  /** Runs a link dialled by another router. */
   readonly accept: (link: RouterLink) => Promise<void>
   readonly broadcast: (message: BetweenRouters, except?: string) => void
   /** Sends on a link to the named router, if one is open. */
   readonly sendTo: (peer: string, message: BetweenRouters) => void
-  /** Tells neighbours within ANNOUNCE_GATHER_MS that the own offset has moved. */
+  /** Announces a change of the own offset to neighbours within ANNOUNCE_DEBOUNCE_MS. */
   readonly announce: () => void
   readonly views: () => ReadonlyMap<InstanceName, PeerView>
-  /** Neighbours that are known to propose nothing now: they cannot be dialled, or say so themselves. */
+  /** True for a neighbour that cannot be dialled or has reported that it cannot make proposals. */
   readonly cannotPropose: (peer: InstanceName) => boolean
   readonly stop: () => void
 }
 
-/** Makes the links to other routers: one task for each. */
+/** Creates the links to other routers, with one task per neighbour. */
 export const createRouterPeers = (options: Options): RouterPeers => {
   const { timers, events } = options
   const links = new Map<RouterLink, Map<InstanceName, LogOffset>>()
@@ -55,31 +55,31 @@
   let isStopped = false
   let isAnnouncing = false
 
-  // Only agents whose offset has moved since the last heartbeat on this link, so that an idle
-  // system's heartbeat stays small however many agents there are.
+  // Contains only agents whose offset has changed since the last heartbeat on this link, so that heartbeats of an
+  // idle system stay small for any number of agents.
   const digestFor = (link: RouterLink): RouterDigest => {
-    const told = links.get(link) ?? new Map<InstanceName, LogOffset>()
-    const moved = [...options.agentOffsets()].filter(([agent, offset]) => told.get(agent) !== offset)
-    for (const [agent, offset] of moved) told.set(agent, offset)
+    const sentOffsets = links.get(link) ?? new Map<InstanceName, LogOffset>()
+    const moved = [...options.agentOffsets()].filter(([agent, offset]) => sentOffsets.get(agent) !== offset)
+    for (const [agent, offset] of moved) sentOffsets.set(agent, offset)
     return { instance: options.instance, appliedOffset: options.ownOffset(), agents: moved, draining: options.isDraining(), canPropose: options.canPropose() }
   }
 
-  const takeDigest = (digest: RouterDigest): void => {
+  const applyDigest = (digest: RouterDigest): void => {
     const known = views.get(digest.instance)
     const appliedOffset = Math.max(known?.appliedOffset ?? 0, digest.appliedOffset) as LogOffset
     const agentOffsets = new Map([...(known?.agentOffsets ?? []), ...digest.agents])
     views.set(digest.instance, { instance: digest.instance, appliedOffset, draining: digest.draining, canPropose: digest.canPropose ?? true, agentOffsets })
   }
 
-  const beat = (link: RouterLink): void => link.send({ type: 'heartbeat', sentAtMs: timers.nowMs(), digest: digestFor(link) })
+  const sendHeartbeat = (link: RouterLink): void => link.send({ type: 'heartbeat', sentAtMs: timers.nowMs(), digest: digestFor(link) })
 
   const handle = (link: RouterLink, message: BetweenRouters): void => match(message)
     .with({ type: 'hello' }, ({ instance }) => events.emit(RouterEvent.peerReached, { peer: instance }))
     .with({ type: 'heartbeat' }, ({ sentAtMs, digest }) => {
-      takeDigest(digest)
+      applyDigest(digest)
       link.send({ type: 'heartbeat.ack', sentAtMs, digest: digestFor(link) })
     })
-    .with({ type: 'heartbeat.ack' }, ({ digest }) => takeDigest(digest))
+    .with({ type: 'heartbeat.ack' }, ({ digest }) => applyDigest(digest))
     .with({ type: 'records' }, { type: 'records.ask' }, { type: 'suspect' }, { type: 'leaving' }, shared =>
       options.onShared(link.peer, shared, link))
     .exhaustive()
@@ -88,11 +88,11 @@
     links.set(link, new Map())
     if (isDialler) {
       link.send({ type: 'hello', instance: options.instance, incarnation: options.incarnation, role: 'router' })
-      beat(link)
+      sendHeartbeat(link)
     }
-    const stopBeating = isDialler ? timers.every(HEARTBEAT_MS, () => beat(link)) : () => {}
+    const stopHeartbeats = isDialler ? timers.every(HEARTBEAT_MS, () => sendHeartbeat(link)) : () => {}
     for await (const message of link.received) receiveSafely(events, link.peer, message, taken => handle(link, taken))
-    stopBeating()
+    stopHeartbeats()
     links.delete(link)
   }
 
@@ -134,9 +134,9 @@
     announce: () => {
       if (isAnnouncing) return
       isAnnouncing = true
-      timers.after(ANNOUNCE_GATHER_MS, () => {
+      timers.after(ANNOUNCE_DEBOUNCE_MS, () => {
         isAnnouncing = false
-        for (const link of links.keys()) beat(link)
+        for (const link of links.keys()) sendHeartbeat(link)
       })
     },
     views: () => views,
--- a/packages/router/src/peers/pickNeighbours.ts
+++ b/packages/router/src/peers/pickNeighbours.ts
@@ -10,7 +10,7 @@
   return successor === own ? undefined : successor
 }
 
-/** The routers that `own` dials: its successor on the ring of name hashes, then others by rendezvous. */
+/** Picks the routers that `own` dials: its successor on the ring of name hashes, then others by rendezvous hashing. */
 export const pickNeighbours = (own: InstanceName, routers: readonly InstanceName[], count = NEIGHBOUR_COUNT): readonly InstanceName[] => {
   const others = routers.filter(name => name !== own)
   const successor = ringSuccessor(own, others)
--- a/packages/router/src/router/createDials.ts
+++ b/packages/router/src/router/createDials.ts
@@ -16,8 +16,8 @@
 const unlisted = (instance: InstanceName): EitherAsync<Fault, never> =>
   EitherAsync.liftEither(Left(makeFault(FaultKind.NotFound, 'links.open', instance, 'the instance list names no address')))
 
-/** Dials instances at the addresses that the instance list names. */
-export const createDials = (context: LinkContext, membership: Membership, hearOffset: (link: RouterLink, offset: LogOffset) => void): Dials => ({
+/** Creates functions that dial instances at the addresses of the platform's instance list. */
+export const createDials = (context: LinkContext, membership: Membership, onRouterOffset: (link: RouterLink, offset: LogOffset) => void): Dials => ({
   dialAgent: (instance, onOffset) => {
     const address = membership.peerAddressOf(instance)
     if (!address) return unlisted(instance)
@@ -29,10 +29,10 @@
     let link: RouterLink | undefined
     const opened = openLink<BetweenRouters, BetweenRouters>(address, {
       ...context,
-      onPeerOffset: (_peer, offset) => { if (link) hearOffset(link, offset) }
+      onPeerOffset: (_peer, offset) => { if (link) onRouterOffset(link, offset) }
     })
     return opened.map(made => {
-      // Known by its name like those that dialled us, not by its address.
+      // Identifies the peer by its instance name, as on accepted links, instead of by its address.
       link = { ...made, peer: instance }
       return link
     })
--- a/packages/router/src/router/createNetwork.ts
+++ b/packages/router/src/router/createNetwork.ts
@@ -20,16 +20,16 @@
   readonly isDraining: () => boolean
 }
 
-/** The connections of a router to agents and to other routers, and what passes between them. */
+/** The connections of a router to agents and other routers, and the exchange between them. */
 export interface Network {
   readonly links: AgentLinks
   readonly peers: RouterPeers
   readonly exchange: Exchange
-  /** For links that other routers dial. */
+  /** Context for links dialled by other routers. */
   readonly acceptContext: LinkContext
 }
 
-const spreadOver = (links: AgentLinks, peers: RouterPeers) => (suspicion: Suspicion, from: string): void => {
+const createSuspicionForwarder = (links: AgentLinks, peers: RouterPeers) => (suspicion: Suspicion, from: string): void => {
   const message = { type: 'suspect', ...suspicion } as const
   peers.broadcast(message, from)
   for (const view of links.views()) {
@@ -37,7 +37,7 @@
   }
 }
 
-/** Makes the connections of a router; none is open yet. */
+/** Creates the connections of a router without opening any. */
 export const createNetwork = ({ parts, membership, suspects, isDraining }: Options): Network => {
   const { settings, instance, incarnation, records, timers, events, random } = parts
   const linkContext: LinkContext = {
@@ -48,13 +48,13 @@
     offset: () => records.state().nextOffset,
     onPeerOffset: () => {}
   }
-  const dials = createDials(linkContext, membership, (link, offset) => exchange.hearOffset(offset, link.send))
+  const dials = createDials(linkContext, membership, (link, offset) => exchange.receiveOffset(offset, link.send))
   const links = createAgentLinks({
     router: instance,
     routerIncarnation: incarnation,
     dial: dials.dialAgent,
     hooks: {
-      onOffset: (agent, offset) => exchange.hearOffset(offset, message => links.linkTo(agent).send(message)),
+      onOffset: (agent, offset) => exchange.receiveOffset(offset, message => links.linkTo(agent).send(message)),
       onShared: (agent, message) => exchange.take(agent, message, reply => links.linkTo(agent).send(reply))
     },
     timers,
@@ -78,12 +78,12 @@
     suspects,
     timers,
     events,
-    spread: spreadOver(links, peers),
+    forwardSuspicion: createSuspicionForwarder(links, peers),
     onLeaving: peer => events.emit(RouterEvent.peerLeaving, { peer })
   })
   const acceptContext: LinkContext = {
     ...linkContext,
-    onPeerOffset: (peer, offset) => exchange.hearOffset(offset, message => peers.sendTo(peer, message))
+    onPeerOffset: (peer, offset) => exchange.receiveOffset(offset, message => peers.sendTo(peer, message))
   }
   return { links, peers, exchange, acceptContext }
 }
