--- a/packages/router/src/plain/admitPlain.test.ts
+++ b/packages/router/src/plain/admitPlain.test.ts
@@ -16,20 +16,20 @@
 const detailOf = (request: PlainRequest): string => admit(request).swap().map(note => note.detail).orDefault('')
 
 describe('calls to plain services', () => {
-  it('keep path and headers, but for those of the connection', () => {
+  it('keep their path and headers except hop-by-hop headers', () => {
     expect(splitPath('/plain/a?x=1')).to.deep.equal({ service: 'a', path: '/?x=1' })
     const { run } = admit(call).unsafeCoerce()
     expect(run.plain?.path).to.equal('/flags?x=1')
     expect(run.plain?.headers.map(([name]) => name)).to.deep.equal(['figmount-request-key', 'figmount-issued-at-ms', 'accept'])
   })
 
-  it('may be repeated by method unless they say otherwise', () => {
+  it('are repeatable depending on the method unless a header overrides it', () => {
     expect(isRepeatable({ method: 'GET', headers: {} })).to.equal(true)
     expect(isRepeatable({ method: 'POST', headers: {} })).to.equal(false)
     expect(isRepeatable({ method: 'POST', headers: { 'figmount-repeatable': 'true' } })).to.equal(true)
   })
 
-  it('are refused with what is wrong', () => {
+  it('are refused with a detail that names the error', () => {
     expect(detailOf({ ...call, headers: {} })).to.contain('needs figmount-request-key')
     expect(detailOf({ ...call, headers: { ...call.headers, 'figmount-deadline-ms': 'soon' } })).to.contain('figmount-deadline-ms')
     expect(detailOf({ ...call, body: new Uint8Array(11) })).to.contain('larger than 10 bytes')
--- a/packages/router/src/plain/admitPlain.ts
+++ b/packages/router/src/plain/admitPlain.ts
@@ -6,7 +6,7 @@
 
 import { UNKNOWN_RETRY_MS } from '../callers/constants.js'
 import { notRun } from '../requests/refusals.js'
-import { DEFAULT_DEADLINE_MS, HOP_HEADERS, PLAIN_PREFIX, PlainHeader } from './constants.js'
+import { DEFAULT_DEADLINE_MS, HOP_BY_HOP_HEADERS, PLAIN_PREFIX, PlainHeader } from './constants.js'
 
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Either } from 'purify-ts'
@@ -16,7 +16,7 @@
 import type { AdmittedRequest } from '../requests/types.js'
 import type { RouterSettings } from '../settings/types.js'
 
-/** A call to a plain service as it came in. */
+/** An incoming HTTP call to a plain service. */
 export interface PlainRequest {
   readonly method: string
   readonly url: string
@@ -45,7 +45,7 @@
   return text === '' ? fallback : Number(text)
 }
 
-/** The service that a path names and the path that it is passed. */
+/** Splits a URL into the name of the service and the path forwarded to it. */
 export const splitPath = (url: string): { readonly service: string, readonly path: string } => {
   const rest = url.slice(PLAIN_PREFIX.length)
   const slash = rest.search(/[/?]/)
@@ -54,19 +54,19 @@
   return { service: rest.slice(0, slash), path: path.startsWith('/') ? path : `/${path}` }
 }
 
-/** Whether a call may be repeated: as the caller says, otherwise by its method. */
+/** True if a call may be repeated, as set by the caller's header or else implied by the method. */
 export const isRepeatable = ({ method, headers }: Pick<PlainRequest, 'method' | 'headers'>): boolean => {
-  const said = headerOf(headers, PlainHeader.repeatable)
-  return said === '' ? SAFE_METHODS.has(method) : said === 'true'
+  const override = headerOf(headers, PlainHeader.repeatable)
+  return override === '' ? SAFE_METHODS.has(method) : override === 'true'
 }
 
-const passedHeaders = (headers: IncomingHttpHeaders): PlainCall['headers'] =>
+const forwardedHeaders = (headers: IncomingHttpHeaders): PlainCall['headers'] =>
   Object.entries(headers).flatMap(([name, value]) => {
-    if (HOP_HEADERS.has(name) || value === undefined) return []
+    if (HOP_BY_HOP_HEADERS.has(name) || value === undefined) return []
     return [[name, Array.isArray(value) ? value.join(', ') : value] as const]
   })
 
-const mistakeIn = (request: PlainRequest, limits: RouterSettings['limits']): string | undefined => {
+const findValidationError = (request: PlainRequest, limits: RouterSettings['limits']): string | undefined => {
   const { headers } = request
   const key = headerOf(headers, PlainHeader.requestKey)
   if (key.length > MAX_KEY_LENGTH) return `${PlainHeader.requestKey} is longer than ${MAX_KEY_LENGTH} characters`
@@ -84,15 +84,15 @@
 const fingerprintOf = ({ method, url, body }: PlainRequest): string =>
   hash64([method, url, Buffer.from(body).toString('base64')].join('\u0000')).toString(16)
 
-/** Checks a call to a plain service and makes a request of it. */
+/** Validates a call to a plain service and converts it to a request. */
 export const admitPlain = (options: Options, caller: CallerInForce, request: PlainRequest): Either<RefusalNote, AdmittedRequest> => {
   const { limits, state, nowMs, unixMs } = options
   const { headers } = request
-  const mistake = mistakeIn(request, limits)
-  if (mistake) return Left(notRun({ reason: RefusalReason.INVALID, detail: mistake, step: 'plain.check' }))
+  const error = findValidationError(request, limits)
+  if (error) return Left(notRun({ reason: RefusalReason.INVALID, detail: error, step: 'plain.check' }))
   const { service, path } = splitPath(request.url)
-  const spec = findService(state, service as ServiceName)
-  if (spec?.kind !== 'plain') {
+  const serviceSpec = findService(state, service as ServiceName)
+  if (serviceSpec?.kind !== 'plain') {
     return Left(notRun({ reason: RefusalReason.UNKNOWN_TARGET, detail: `no plain service "${service}"`, step: 'plain.resolve', retryAfterMs: UNKNOWN_RETRY_MS }))
   }
   const requestKey = headerOf(headers, PlainHeader.requestKey) || randomUUID()
@@ -106,7 +106,7 @@
       issuedAtMs: numberOf(headers, PlainHeader.issuedAtMs, unixMs),
       resendCount: numberOf(headers, PlainHeader.resendCount, 0),
       repeatable: isRepeatable(request),
-      // Rights of a plain service are under its own name.
+      // Rights of a plain service use its name in place of a model id.
       model: service as string as ModelId,
       service: service as ServiceName,
       adapter: '',
@@ -114,10 +114,10 @@
       prefixHint: '',
       prompt: '',
       maxTokens: 1,
-      priority: spec.priorities[caller.kind] ?? 0,
+      priority: serviceSpec.priorities[caller.kind] ?? 0,
       share: caller.share,
       fingerprint: fingerprintOf(request),
-      plain: { method: request.method, path, headers: passedHeaders(headers), body: request.body }
+      plain: { method: request.method, path, headers: forwardedHeaders(headers), body: request.body }
     }
   })
 }
--- a/packages/router/src/plain/answerPlain.ts
+++ b/packages/router/src/plain/answerPlain.ts
@@ -1,7 +1,7 @@
 import { RefusalReason } from '@figmount/schema'
 
 import { reasonName, runStateName } from '../requests/refusals.js'
-import { HOP_HEADERS } from './constants.js'
+import { HOP_BY_HOP_HEADERS } from './constants.js'
 
 import type { ServerResponse } from 'node:http'
 import type { PlainAnswer, RefusalNote } from '@figmount/peers'
@@ -9,7 +9,7 @@
 const MS_PER_SECOND = 1000
 const UNAVAILABLE = 503
 
-const STATUSES: Partial<Record<RefusalReason, number>> = {
+const STATUS_BY_REASON: Partial<Record<RefusalReason, number>> = {
   [RefusalReason.INVALID]: 400,
   [RefusalReason.UNAUTHENTICATED]: 401,
   [RefusalReason.UNKNOWN_TARGET]: 404,
@@ -20,11 +20,11 @@
   [RefusalReason.DEADLINE]: 504
 }
 
-/** HTTP status under which a refusal is told; everything that passes with time is "unavailable". */
-export const statusOf = (reason: RefusalReason): number => STATUSES[reason] ?? UNAVAILABLE
+/** Returns the HTTP status for a refusal. Every temporary condition without its own status is 503. */
+export const statusOf = (reason: RefusalReason): number => STATUS_BY_REASON[reason] ?? UNAVAILABLE
 
-/** Tells a plain caller of a refusal: status, `retry-after` in whole seconds, and the details as JSON. */
-export const answerRefusal = (response: ServerResponse, note: RefusalNote): void => {
+/** Sends a refusal as HTTP status, `retry-after` in whole seconds, and details as JSON. */
+export const sendRefusal = (response: ServerResponse, note: RefusalNote): void => {
   const retryAfter = note.retryAfterMs > 0 ? { 'retry-after': String(Math.ceil(note.retryAfterMs / MS_PER_SECOND)) } : {}
   response.writeHead(statusOf(note.reason), { 'content-type': 'application/json', ...retryAfter })
   response.end(`${JSON.stringify({
@@ -37,9 +37,9 @@
   })}\n`)
 }
 
-/** Passes a plain service's answer on as it is. */
-export const passAnswer = (response: ServerResponse, answer: PlainAnswer): void => {
-  const headers = answer.headers.filter(([name]) => !HOP_HEADERS.has(name.toLowerCase()))
+/** Forwards the answer of a plain service without its hop-by-hop headers. */
+export const forwardAnswer = (response: ServerResponse, answer: PlainAnswer): void => {
+  const headers = answer.headers.filter(([name]) => !HOP_BY_HOP_HEADERS.has(name.toLowerCase()))
   response.writeHead(answer.status, headers.flatMap(([name, value]) => [name, value]))
   response.end(answer.body)
 }
--- a/packages/router/src/plain/constants.ts
+++ b/packages/router/src/plain/constants.ts
@@ -1,10 +1,10 @@
-/** Paths under which plain services are reached: `/plain/<service>/...`. */
+/** Path prefix of plain services: `/plain/<service>/...`. */
 export const PLAIN_PREFIX = '/plain/'
 
-/** Deadline of a call that names none. */
+/** Deadline of a call without a deadline header. */
 export const DEFAULT_DEADLINE_MS = 30_000
 
-/** Headers by which a caller says what it would say in an InferRequest. */
+/** Headers that correspond to the fields of an InferRequest. */
 export const PlainHeader = {
   requestKey: 'figmount-request-key',
   issuedAtMs: 'figmount-issued-at-ms',
@@ -13,8 +13,8 @@
   resendCount: 'figmount-resend-count'
 } as const
 
-/** Headers that belong to one connection or to figmount and are not passed on. */
-export const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that apply to a single connection or to figmount itself and are not forwarded. */
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer',
   'transfer-encoding', 'upgrade', 'host', 'content-length', 'authorization', 'expect'
 ])
--- a/packages/router/src/plain/createPlainHandler.ts
+++ b/packages/router/src/plain/createPlainHandler.ts
@@ -6,7 +6,7 @@
 import { openRequest } from '../callers/openRequest.js'
 import { notRun } from '../requests/refusals.js'
 import { admitPlain, isRepeatable, splitPath } from './admitPlain.js'
-import { answerRefusal, passAnswer } from './answerPlain.js'
+import { sendRefusal, forwardAnswer } from './answerPlain.js'
 import { PLAIN_PREFIX, PlainHeader } from './constants.js'
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -34,7 +34,7 @@
   return Buffer.concat(chunks)
 }
 
-const leaveSignal = (response: ServerResponse): AbortSignal => {
+const disconnectSignal = (response: ServerResponse): AbortSignal => {
   const abort = new AbortController()
   response.once('close', () => { if (!response.writableEnded) abort.abort() })
   return abort.signal
@@ -46,17 +46,17 @@
 
 const resendCountOf = (request: IncomingMessage): number => Number(request.headers[PlainHeader.resendCount] ?? 0) || 0
 
-const tooLarge = (maxBytes: number): RefusalNote =>
+const tooLargeRefusal = (maxBytes: number): RefusalNote =>
   notRun({ reason: RefusalReason.INVALID, detail: `the body is larger than ${maxBytes} bytes`, step: 'plain.read' })
 
-// The caller is known and the gate has let the call in before its body is read, so that a storm
-// of large calls costs no memory.
+// Authentication and the admission gate come before the body is read, so that a burst of large calls
+// does not use up memory.
 const admit = async ({ context, limits }: Options, request: IncomingMessage): Promise<Either<RefusalNote, AdmittedRequest>> => {
   const state = context.records.state()
   const caller = authenticateCaller(state, request.headers.authorization ?? null)
   if (caller.isLeft()) return Left(caller.swap().unsafeCoerce())
   const body = await readBody(request, limits.prompt_bytes)
-  if (!body) return Left(tooLarge(limits.prompt_bytes))
+  if (!body) return Left(tooLargeRefusal(limits.prompt_bytes))
   const call = { method: methodOf(request), url: urlOf(request), headers: request.headers, body }
   const options = { state, limits, nowMs: context.timers.nowMs(), unixMs: context.timers.unixMs() }
   return caller.chain(known => admitPlain(options, known, call))
@@ -69,15 +69,15 @@
     admit: async () => await admit(options, request),
     fields: { service: splitPath(urlOf(request)).service, repeatable: isRepeatable({ method: methodOf(request), headers: request.headers }) },
     resendCount: resendCountOf(request),
-    signal: leaveSignal(response)
+    signal: disconnectSignal(response)
   })
   for await (const part of parts) {
-    if (part.kind === 'refusal') return answerRefusal(response, part.note)
-    if (part.kind === 'final' && part.plain) return passAnswer(response, part.plain)
+    if (part.kind === 'refusal') return sendRefusal(response, part.note)
+    if (part.kind === 'final' && part.plain) return forwardAnswer(response, part.plain)
   }
 }
 
-/** Takes calls to plain services; false for any other path. */
+/** Creates the HTTP handler for calls to plain services; it returns false for any other path. */
 export const createPlainHandler = (options: Options) => (request: IncomingMessage, response: ServerResponse): boolean => {
   if (!request.url?.startsWith(PLAIN_PREFIX)) return false
   serve(options, request, response).catch((error: Error) => {
