--- a/packages/router/src/answers/createMailbox.ts
+++ b/packages/router/src/answers/createMailbox.ts
@@ -1,53 +1,53 @@
 import type { TimerService } from '@figmount/base'
 
-/** A bounded queue between a link's task, which pushes, and one request's task, which takes. */
+/** A bounded queue from the task of a link to the task of one request. */
 export interface Mailbox<T> {
-  /** False when the mailbox is full; the message is then lost and `hasOverflowed` says so. */
+  /** Returns false if the mailbox is full; the message is then dropped and `hasOverflowed` reports it. */
   readonly push: (message: T) => boolean
-  /** The next message; undefined after `waitMs` or when `signal` aborts. */
+  /** Returns the next message, or undefined after `waitMs` or when `signal` aborts. */
   readonly take: (waitMs: number, signal?: AbortSignal) => Promise<T | undefined>
-  /** True once when the mailbox is empty again after messages were lost. */
+  /** Returns true once when the mailbox has been emptied after messages were dropped. */
   readonly hasOverflowed: () => boolean
 }
 
-/** Makes a mailbox for one reader. */
+/** Creates a mailbox for one reader. */
 export const createMailbox = <T>(timers: TimerService, capacity: number): Mailbox<T> => {
-  const waiting: T[] = []
-  let overflowed = false
-  let wake: (() => void) | undefined
+  const queue: T[] = []
+  let isOverflowed = false
+  let notifyReader: (() => void) | undefined
 
   const waitForMessage = async (waitMs: number, signal?: AbortSignal): Promise<void> =>
     await new Promise(resolve => {
       const finish = (): void => {
-        wake = undefined
+        notifyReader = undefined
         cancel()
         signal?.removeEventListener('abort', finish)
         resolve()
       }
       const cancel = timers.after(waitMs, finish)
       signal?.addEventListener('abort', finish, { once: true })
-      wake = finish
+      notifyReader = finish
     })
 
   return {
     push: message => {
-      // Guards the router's memory against a caller that reads slowly: its frames stay at
-      // the agent, which keeps them until acknowledged, and are asked for again later.
-      if (waiting.length >= capacity) {
-        overflowed = true
+      // Bounds the memory used for a slow caller: the agent stores frames until they are acknowledged, so dropped
+      // ones can be requested again later.
+      if (queue.length >= capacity) {
+        isOverflowed = true
         return false
       }
-      waiting.push(message)
-      wake?.()
+      queue.push(message)
+      notifyReader?.()
       return true
     },
     take: async (waitMs, signal) => {
-      if (waiting.length === 0 && waitMs > 0 && !signal?.aborted) await waitForMessage(waitMs, signal)
-      return waiting.shift()
+      if (queue.length === 0 && waitMs > 0 && !signal?.aborted) await waitForMessage(waitMs, signal)
+      return queue.shift()
     },
     hasOverflowed: () => {
-      if (!overflowed || waiting.length > 0) return false
-      overflowed = false
+      if (!isOverflowed || queue.length > 0) return false
+      isOverflowed = false
       return true
     }
   }
--- a/packages/router/src/answers/numberFrames.ts
+++ b/packages/router/src/answers/numberFrames.ts
@@ -29,7 +29,7 @@
   .with({ kind: 'refusal' }, ({ note }) => ({ case: 'refusal', value: refusalMessage(note) }))
   .exhaustive()
 
-/** Numbers the parts of one answer from 0 without gaps, as the callers' schema asks. */
+/** Numbers the parts of one answer from 0 without gaps, as required by the callers' schema. */
 export const numberFrames = async function * (parts: AsyncIterable<AnswerPart>): AsyncGenerator<AnswerFrame> {
   let number = 0
   for await (const part of parts) {
--- a/packages/router/src/answers/reduceAnswer.test.ts
+++ b/packages/router/src/answers/reduceAnswer.test.ts
@@ -13,7 +13,7 @@
   type: 'tokens', attemptId: ATTEMPT, frame, firstTokenIndex, tokens: Array.from({ length: count }, (_, index) => `t${firstTokenIndex + index}`)
 })
 
-/** The frames of an answer, each with so many tokens of which the first `repeats` were sent before. */
+/** Creates the frames of an answer. Each frame has `count` new tokens after the last `repeats` tokens of the previous frames. */
 const framesOf = (sizes: readonly (readonly [count: number, repeats: number])[]): readonly AnswerFrameMessage[] => {
   const frames: AnswerFrameMessage[] = []
   let sent = 0
@@ -27,13 +27,13 @@
 
 const sizes = fc.array(fc.tuple(fc.nat({ max: 4 }), fc.nat({ max: 2 })), { minLength: 1, maxLength: 12 })
 
-describe('answer of one request', () => {
-  // Frames arrive late, twice, out of order and from the attempt of another request; what the
-  // caller is shown must be the answer's tokens from the first on, each once, whatever comes.
-  it('shows each token once and in order', () => {
+describe('reduceAnswer', () => {
+  // Frames arrive late, twice, out of order and from other attempts. In every case the caller must receive
+  // the answer's tokens from the first one on, each exactly once.
+  it('delivers each token once and in order', () => {
     fc.assert(fc.property(sizes, fc.infiniteStream(fc.nat()), (plan, picks) => {
       const frames = framesOf(plan)
-      const shown: string[] = []
+      const delivered: string[] = []
       let state = beginAnswer(ATTEMPT, 0)
       for (let step = 0; step < 200; step += 1) {
         const pick = picks.next().value ?? 0
@@ -41,18 +41,18 @@
         const message = pick % 7 === 0 ? { ...chosen, attemptId: 'other/1/1' as AttemptId } : chosen
         const reduction = reduceAnswer(state, message)
         state = reduction.state
-        if (reduction.step.kind === 'deliver') shown.push(...reduction.step.tokens)
+        if (reduction.step.kind === 'deliver') delivered.push(...reduction.step.tokens)
       }
-      expect(shown).to.deep.equal(Array.from({ length: shown.length }, (_, index) => `t${index}`))
-      expect(state.tokenCount).to.equal(shown.length)
+      expect(delivered).to.deep.equal(Array.from({ length: delivered.length }, (_, index) => `t${index}`))
+      expect(state.tokenCount).to.equal(delivered.length)
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('asks for the frames of a gap', () => {
+  it('requests the frames of a gap', () => {
     expect(reduceAnswer(beginAnswer(ATTEMPT, 0), frameOf(2, 0, 1)).step).to.deep.equal({ kind: 'gap', fromFrame: 0 })
   })
 
-  it('is broken when tokens are left out', () => {
+  it('reports a broken answer if tokens are missing', () => {
     expect(reduceAnswer(beginAnswer(ATTEMPT, 0), frameOf(0, 3, 1)).step.kind).to.equal('broken')
   })
 })
--- a/packages/router/src/answers/reduceAnswer.ts
+++ b/packages/router/src/answers/reduceAnswer.ts
@@ -2,7 +2,7 @@
 import type { FromAgent } from '@figmount/peers'
 import type { AnswerState, AnswerStep } from './types.js'
 
-/** A frame of an attempt's answer as an agent numbers it. */
+/** A frame of an attempt's answer, numbered by the agent. */
 export type AnswerFrameMessage = Extract<FromAgent, { readonly type: 'tokens' | 'final' }>
 
 interface Reduction {
@@ -10,7 +10,7 @@
   readonly step: AnswerStep
 }
 
-/** The state before the first frame of an attempt that goes on behind `tokenCount` tokens. */
+/** Returns the state before the first frame of an attempt that continues after `tokenCount` tokens. */
 export const beginAnswer = (attemptId: AttemptId, tokenCount: number): AnswerState =>
   ({ attemptId, nextFrame: 0, tokenCount })
 
@@ -18,34 +18,34 @@
 
 const broken = (state: AnswerState, reason: string): Reduction => ({ state, step: { kind: 'broken', reason } })
 
-const takeTokens = (state: AnswerState, firstTokenIndex: number, tokens: readonly string[]): Reduction => {
-  const passed = { ...state, nextFrame: state.nextFrame + 1 }
-  const behindIndex = firstTokenIndex + tokens.length
+const applyTokens = (state: AnswerState, firstTokenIndex: number, tokens: readonly string[]): Reduction => {
+  const advanced = { ...state, nextFrame: state.nextFrame + 1 }
+  const endIndex = firstTokenIndex + tokens.length
   if (firstTokenIndex > state.tokenCount) {
-    return broken(passed, `tokens ${state.tokenCount} to ${firstTokenIndex - 1} are missing`)
+    return broken(advanced, `tokens ${state.tokenCount} to ${firstTokenIndex - 1} are missing`)
   }
-  // Guards against a token shown twice: an engine that resumes may repeat the last one,
-  // under a new frame number, so token indices decide and not frame numbers.
-  if (behindIndex <= state.tokenCount) return dropped(passed, 'tokens repeated')
+  // An engine that resumes may repeat the last token under a new frame number. Token indices therefore decide which
+  // tokens are delivered, not frame numbers.
+  if (endIndex <= state.tokenCount) return dropped(advanced, 'tokens repeated')
   const fresh = tokens.slice(state.tokenCount - firstTokenIndex)
   return {
-    state: { ...passed, tokenCount: behindIndex },
+    state: { ...advanced, tokenCount: endIndex },
     step: { kind: 'deliver', firstTokenIndex: state.tokenCount, tokens: fresh }
   }
 }
 
 /**
- * Takes one frame into the answer of a request. Only frames of the present attempt
- * count, in order; whatever is late, crossed or repeated is dropped.
+ * Applies one frame to the state of an answer. Only frames of the current attempt are accepted, in
+ * order; late and repeated frames and those of other attempts are dropped.
  */
 export const reduceAnswer = (state: AnswerState, message: AnswerFrameMessage): Reduction => {
   if (message.attemptId !== state.attemptId) return dropped(state, 'of another attempt')
   if (message.frame < state.nextFrame) return dropped(state, 'frame repeated')
   if (message.frame > state.nextFrame) return { state, step: { kind: 'gap', fromFrame: state.nextFrame } }
-  if (message.type === 'tokens') return takeTokens(state, message.firstTokenIndex, message.tokens)
-  const passed = { ...state, nextFrame: state.nextFrame + 1 }
+  if (message.type === 'tokens') return applyTokens(state, message.firstTokenIndex, message.tokens)
+  const advanced = { ...state, nextFrame: state.nextFrame + 1 }
   if (message.tokenCount !== state.tokenCount) {
-    return broken(passed, `final counts ${message.tokenCount} tokens, ${state.tokenCount} came`)
+    return broken(advanced, `final counts ${message.tokenCount} tokens, ${state.tokenCount} came`)
   }
-  return { state: passed, step: { kind: 'finish' } }
+  return { state: advanced, step: { kind: 'finish' } }
 }
--- a/packages/router/src/answers/types.ts
+++ b/packages/router/src/answers/types.ts
@@ -2,7 +2,7 @@
 import type { PlainAnswer, RefusalNote } from '@figmount/peers'
 import type { FinishReason, WaitState } from '@figmount/schema'
 
-/** One piece of what a caller is told, before it is numbered. The last is `final` or `refusal`. */
+/** A part of an answer to a caller, before frames are numbered. The last part is `final` or `refusal`. */
 export type AnswerPart =
   | { readonly kind: 'waiting', readonly state: WaitState, readonly estimatedWaitMs: number }
   | TokensPart
@@ -24,22 +24,22 @@
   readonly plain?: PlainAnswer
 }
 
-/** Where one answer stands. Tokens are counted over all attempts, frames within the present one. */
+/** Progress of one answer. Tokens are counted over all attempts, frames within the current one. */
 export interface AnswerState {
   readonly attemptId: AttemptId
-  /** Frame of the present attempt that comes next. */
+  /** Number of the next frame expected from the current attempt. */
   readonly nextFrame: number
-  /** Tokens that the caller has. */
+  /** Number of tokens delivered to the caller. */
   readonly tokenCount: number
 }
 
-/** What a frame means for the caller. */
+/** Effect of a frame on the answer. */
 export type AnswerStep =
   | { readonly kind: 'deliver', readonly firstTokenIndex: number, readonly tokens: readonly string[] }
   | { readonly kind: 'finish' }
-  /** Repeated, late or of another attempt. */
+  /** The frame is repeated, late or of another attempt. */
   | { readonly kind: 'drop', readonly reason: string }
-  /** Frames are missing: they have to be asked for from `fromFrame` on. */
+  /** Frames are missing and must be requested from `fromFrame` on. */
   | { readonly kind: 'gap', readonly fromFrame: number }
-  /** Tokens are missing that the agent will not send: the attempt is of no use. */
+  /** Tokens are missing that the agent will not send; the attempt cannot be completed. */
   | { readonly kind: 'broken', readonly reason: string }
