--- a/packages/router/src/operators/applyItem.ts
+++ b/packages/router/src/operators/applyItem.ts
@@ -17,7 +17,7 @@
   readonly change: ApplyItem
 }
 
-/** A version of an item as operators see it. */
+/** Converts a version of a configuration item to its message for operators. */
 export const configItemOf = (version: ConfigVersion): ConfigItem => create(ConfigItemSchema, {
   name: version.item,
   bodyJson: version.bodyJson,
@@ -37,27 +37,28 @@
   return create(ApplyOutcomeSchema, { name, accepted, detail, ...(current ? { current: configItemOf(current) } : {}) })
 }
 
-const isOwn = ({ records, change }: ApplyOptions, recordId: string): boolean => {
+const isRecordAccepted = ({ records, change }: ApplyOptions, recordId: string): boolean => {
   const item = change.name as ItemName
   const { items, history } = records.state()
   return [items.get(item), ...(history.get(item) ?? [])].some(version => version?.recordId === recordId)
 }
 
-const judge = (options: ApplyOptions, recordId: string, outcome: FoldOutcome): ApplyOutcome => {
+const resolveOutcome = (options: ApplyOptions, recordId: string, outcome: FoldOutcome): ApplyOutcome => {
   if (outcome.applied) return outcomeOf(options, true, '')
-  // The same change resent: the first record of the two was accepted, the second is stale.
-  if (isOwn(options, recordId)) return outcomeOf(options, true, 'was accepted before')
+  // The change was resent under the same record id: its first record was accepted, so the second one is stale.
+  if (isRecordAccepted(options, recordId)) return outcomeOf(options, true, 'was accepted before')
   return outcomeOf(options, false, outcome.reason)
 }
 
 /**
- * Applies one change by compare-and-set. The outcome is told only after the record was read
- * back, so it is the log's order that decides a race and the loser sees the winner.
+ * Applies one change by compare-and-set. The outcome is returned only after the record was read back
+ * from the log, so the order of the log decides between concurrent changes and the response to the
+ * rejected change contains the accepted one.
  */
 export const applyItem = (options: ApplyOptions): EitherAsync<Fault, ApplyOutcome> => {
   const { records, operatorName, changeId, change } = options
-  const mistake = checkBody(change)
-  if (mistake) return EitherAsync.liftEither(Right(outcomeOf(options, false, mistake)))
+  const error = checkBody(change)
+  if (error) return EitherAsync.liftEither(Right(outcomeOf(options, false, error)))
   const recordId = `${operatorName}/${changeId}/${change.name}`
   return records.append({
     kind: 'config.set',
@@ -66,5 +67,5 @@
     bodyJson: change.retire ? '' : change.bodyJson,
     operatorName,
     ...(changeId === '' ? {} : { recordId })
-  }).map(({ outcome }) => judge(options, recordId, outcome))
+  }).map(({ outcome }) => resolveOutcome(options, recordId, outcome))
 }
--- a/packages/router/src/operators/authenticateOperator.ts
+++ b/packages/router/src/operators/authenticateOperator.ts
@@ -9,7 +9,7 @@
 
 const BEARER = 'Bearer '
 
-/** Name of the operator whose key the call carries; throws UNAUTHENTICATED for an RPC's caller if there is none. */
+/** Returns the name of the operator whose key the call carries; throws an `Unauthenticated` RPC error without a valid key. */
 export const authenticateOperator = (keys: readonly OperatorKey[], events: EventLog, handler: HandlerContext): string => {
   const authorization = handler.requestHeader.get('authorization') ?? ''
   const keySha256 = authorization.startsWith(BEARER) ? hashKey(authorization.slice(BEARER.length)) : ''
--- a/packages/router/src/operators/createOperator.ts
+++ b/packages/router/src/operators/createOperator.ts
@@ -22,11 +22,11 @@
   readonly timers: TimerService
   readonly operatorKeys: readonly OperatorKey[]
   readonly status: StatusSources
-  /** Aborts when the router stops, which ends the streams of events. */
+  /** Aborts when the router stops, which ends event streams. */
   readonly stopping: AbortSignal
 }
 
-/** Items of one apply; each costs an append. */
+/** Maximum number of items in one apply; each requires an append to the log. */
 const MAX_ITEMS = 500
 
 const errorOf = (fault: Fault): ConnectError =>
@@ -37,7 +37,7 @@
   const outcomes: ApplyOutcome[] = []
   for (const change of request.items) {
     const result = await applyItem({ records, events, operatorName, changeId: request.changeId, change }).run()
-    // The write may have taken effect: the operator resends with the same change id and learns which.
+    // The write may have taken effect. The operator can resend it with the same change id to find out.
     if (result.isLeft()) throw errorOf(result.swap().unsafeCoerce())
     outcomes.push(result.unsafeCoerce())
   }
@@ -67,32 +67,32 @@
   return create(DrainResponseSchema, { accepted: true })
 }
 
-/** The operators' service. */
+/** Implements the RPC service for operators. */
 export const createOperator = (options: Options): ServiceImpl<typeof Operator> => {
   const { events, timers } = options
-  const check = (handler: HandlerContext): string => authenticateOperator(options.operatorKeys, events, handler)
+  const authenticate = (handler: HandlerContext): string => authenticateOperator(options.operatorKeys, events, handler)
   return {
-    apply: async (request, handler) => await applyAll(options, check(handler), request),
+    apply: async (request, handler) => await applyAll(options, authenticate(handler), request),
     get: (request, handler) => {
-      check(handler)
+      authenticate(handler)
       return getItems(options, request)
     },
     history: (request, handler) => {
-      check(handler)
+      authenticate(handler)
       return getHistory(options, request)
     },
     status: (_request, handler) => {
-      check(handler)
-      options.status.seekUnknown()
+      authenticate(handler)
+      options.status.linkUnknownAgents()
       return describeStatus(options.status)
     },
-    drain: async (request, handler) => await drain(options, check(handler), request),
+    drain: async (request, handler) => await drain(options, authenticate(handler), request),
     explain: (request, handler) => {
-      check(handler)
+      authenticate(handler)
       return create(ExplainResponseSchema, { events: [...explainRequest(events, request)] })
     },
     events: (request, handler) => {
-      check(handler)
+      authenticate(handler)
       return followEvents({ events, timers, request, signal: handler.signal, stopping: options.stopping })
     }
   }
--- a/packages/router/src/operators/describeStatus.ts
+++ b/packages/router/src/operators/describeStatus.ts
@@ -15,16 +15,16 @@
   readonly records: RecordsClient
   readonly list: () => InstanceList
   readonly viewOf: (instance: InstanceName) => AgentView | undefined
-  /** Opens links to some agents of which nothing is known, for the next status. */
-  readonly seekUnknown: () => void
-  /** The highest offset known to be in force at an instance, from links and from other routers. */
+  /** Opens links to some agents without known state, so that the next status includes them. */
+  readonly linkUnknownAgents: () => void
+  /** The highest offset that an instance is known to have applied, from links and other routers. */
   readonly appliedOffsetOf: (instance: InstanceName) => LogOffset | undefined
   readonly metrics: Metrics
   readonly timers: TimerService
 }
 
-/** The log counts as reachable if a read has confirmed its head this recently; several long polls. */
-const LOG_FRESH_MS = 5_000
+/** Maximum age of the last confirmed read of the log for it to count as reachable; several long polls. */
+const MAX_LOG_AGE_MS = 5_000
 
 const ageOf = (nowMs: number, atMs: number): number => Number.isFinite(atMs) ? Math.max(0, Math.round(nowMs - atMs)) : 0
 
@@ -85,7 +85,7 @@
 const metricLines = (metrics: Metrics): readonly MetricLine[] =>
   metrics.lines().map(({ name, value }) => create(MetricLineSchema, { name, value }))
 
-/** What operators see of the system from this router. */
+/** Describes the state of the system as known to this router. */
 export const describeStatus = (sources: StatusSources): StatusResponse => {
   const state = sources.records.state()
   const names = new Set([...sources.list().instances.keys(), ...state.agents.keys()])
@@ -95,6 +95,6 @@
     instances: [ownStatus(sources), ...[...names].sort().map(name => otherStatus(sources, name))],
     replicas: [...state.rights.values()].flatMap(right => replicaOf(sources, right)),
     metrics: [...metricLines(sources.metrics)],
-    logReachable: sources.timers.nowMs() - sources.records.confirmedAtMs() < LOG_FRESH_MS
+    logReachable: sources.timers.nowMs() - sources.records.confirmedAtMs() < MAX_LOG_AGE_MS
   })
 }
--- a/packages/router/src/operators/followEvents.ts
+++ b/packages/router/src/operators/followEvents.ts
@@ -6,16 +6,16 @@
 import type { EventLog, EventRecord, TimerService } from '@figmount/base'
 import type { EventLine, EventsRequest, ExplainRequest } from '@figmount/schema'
 
-/** Events that wait for a slow reader; beyond it some are left out, as the gap in `sequence` shows. */
+/** Maximum number of events queued for a slow reader. Further events are dropped, visible as a gap in `sequence`. */
 const MAX_WAITING_EVENTS = 1_000
-const LOOK_MS = 1_000
+const STOP_CHECK_PERIOD_MS = 1_000
 
 const lineOf = (event: EventRecord): EventLine => create(EventLineSchema, { json: JSON.stringify(event) })
 
 const attemptsOf = (events: readonly EventRecord[]): ReadonlySet<string> =>
   new Set(events.flatMap(event => event.attemptId ? [event.attemptId] : []))
 
-/** The remembered events of one request, those of its attempts included. */
+/** Returns the recent events of one request, including those of its attempts. */
 export const explainRequest = (events: EventLog, request: ExplainRequest): readonly EventLine[] => {
   const recent = events.recent()
   const own = recent.filter(event =>
@@ -31,13 +31,13 @@
   readonly events: EventLog
   readonly timers: TimerService
   readonly request: EventsRequest
-  /** Aborts when the operator leaves. */
+  /** Aborts when the operator disconnects. */
   readonly signal: AbortSignal
   /** Aborts when the router stops. */
   readonly stopping: AbortSignal
 }
 
-/** Streams events as they happen until the operator leaves or the router stops. */
+/** Streams events as they occur until the operator disconnects or the router stops. */
 export const followEvents = async function * ({ events, timers, request, signal, stopping }: FollowOptions): AsyncGenerator<EventLine> {
   const mailbox = createMailbox<EventRecord>(timers, MAX_WAITING_EVENTS)
   const isWanted = (event: EventRecord): boolean =>
@@ -46,7 +46,7 @@
   signal.addEventListener('abort', unsubscribe, { once: true })
   try {
     while (!signal.aborted && !stopping.aborted) {
-      const event = await mailbox.take(LOOK_MS, signal)
+      const event = await mailbox.take(STOP_CHECK_PERIOD_MS, signal)
       if (event) yield lineOf(event)
     }
   } finally {
--- a/packages/router/src/router/createStatusSources.ts
+++ b/packages/router/src/router/createStatusSources.ts
@@ -15,7 +15,7 @@
   readonly isStopping: () => boolean
 }
 
-/** Where a configuration is known to be in force: what links carry and what other routers have heard. */
+/** Returns the highest offset that an instance is known to have applied, from links and from other routers' reports. */
 const appliedOffsetOf = ({ links, peers }: Options, instance: InstanceName): LogOffset | undefined => {
   const views = [...peers.views().values()]
   const own = links.viewOf(instance)?.appliedOffset
@@ -24,24 +24,24 @@
   return known.length > 0 ? Math.max(...known) as LogOffset : undefined
 }
 
-/** Agents that one status looks for besides those with a link; more are heard of through neighbours only. */
-const MAX_SOUGHT_AGENTS = 30
+/** Maximum number of agents that one status call opens links to; others are covered only by neighbours' reports. */
+const MAX_LINKED_AGENTS = 30
 
 /**
- * Opens links to agents of which nothing is known, so that the next status knows them. Without it an agent that
- * no request needs would seem to have no configuration in force for ever.
+ * Opens links to agents without a known offset, so that the next status includes them. Otherwise an
+ * agent that receives no requests would never appear to have applied the configuration.
  */
-const seekUnknown = (options: Options): void => {
-  let soughtCount = 0
+const linkUnknownAgents = (options: Options): void => {
+  let linkedCount = 0
   for (const [name, listed] of options.membership.list().instances) {
-    if (listed.role !== 'agent' || soughtCount >= MAX_SOUGHT_AGENTS) continue
+    if (listed.role !== 'agent' || linkedCount >= MAX_LINKED_AGENTS) continue
     if (appliedOffsetOf(options, name)) continue
     options.links.linkTo(name).keepOpen()
-    soughtCount += 1
+    linkedCount += 1
   }
 }
 
-/** Gathers what the operators' status is made of. */
+/** Collects the sources of the status for operators. */
 export const createStatusSources = (options: Options): StatusSources => {
   const { parts, membership, links, gate } = options
   return {
@@ -51,7 +51,7 @@
     requestCount: gate.count,
     records: parts.records,
     list: membership.list,
-    seekUnknown: () => seekUnknown(options),
+    linkUnknownAgents: () => linkUnknownAgents(options),
     viewOf: links.viewOf,
     appliedOffsetOf: instance => appliedOffsetOf(options, instance),
     metrics: parts.metrics,
