--- a/packages/router/src/router/createServeContext.ts
+++ b/packages/router/src/router/createServeContext.ts
@@ -21,7 +21,7 @@
   readonly suspects: Suspects
 }
 
-/** Gathers what serving requests needs: the router's parts and its memory of earlier requests. */
+/** Creates the context for serving requests: the router's dependencies and its state from earlier requests. */
 export const createServeContext = ({ parts, membership, links, suspects }: Options): ServeContext => {
   const { settings, instance, incarnation, records, timers, events, metrics, random } = parts
   const prefixes = createPrefixMap()
--- a/packages/router/src/router/startRouter.test.ts
+++ b/packages/router/src/router/startRouter.test.ts
@@ -44,7 +44,7 @@
   random: () => 0.5
 })
 
-describe('router on its port', () => {
+describe('running router', () => {
   let router: RunningProcess
   const records = createFakeRecords()
 
@@ -77,12 +77,12 @@
     }
   })
 
-  it('does not say "not run" of a key that was sent before', async () => {
+  it('does not report "not run" for a resent key', async () => {
     const { body } = await infer({ resendCount: 1 })
     expect(body['refusal']).to.include({ runState: 'RUN_STATE_MAY_HAVE_RUN' })
   })
 
-  it('goes on after malformed input', async () => {
+  it('continues to serve after malformed input', async () => {
     expect((await post('figmount.v1.Inference/InferWhole', '{', 'crew-key')).status).to.equal(400)
     const plain = await fetch(`http://${router.address}/plain/none/x`, { headers: { authorization: 'Bearer crew-key' } })
     expect(plain.status).to.equal(404)
@@ -90,9 +90,9 @@
     expect((await fetch(`http://${router.address}/healthz`)).status).to.equal(200)
   })
 
-  // Two operators change an item at the same version. One is told that it lost and who won; a
-  // resend of the winner's change, whose answer was lost, is told that it was accepted.
-  it('tells the loser of a race who won', async () => {
+  // Two operators change an item at the same version. The rejected change must return the accepted one, and a
+  // resend of the accepted change, whose response was lost, must be reported as accepted.
+  it('returns the accepted change to the operator of a rejected one', async () => {
     const change = (changeId: string, body: object) => ({ changeId, items: [{ name: 'service/s', expectedVersion: '0', bodyJson: JSON.stringify(body) }] })
     const winner = change('c1', { kind: 'plain' })
     const apply = async (body: unknown) => (await post('figmount.v1.Operator/Apply', body, 'desk-key')).body['outcomes']?.[0 as never] as unknown as { accepted?: boolean, current: { bodyJson: string } }
@@ -103,14 +103,14 @@
     expect((await apply(winner)).accepted).to.equal(true)
   })
 
-  it('turns away operators without a key', async () => {
+  it('rejects operators without a key', async () => {
     expect((await post('figmount.v1.Operator/Status', {}, 'crew-key')).status).to.equal(401)
     expect((await post('figmount.v1.Operator/Status', {}, 'desk-key')).body['instances']).to.have.length(1)
   })
 
-  // The router is told to stop while the balancer still sends it requests. It says at once that it
-  // is leaving, serves on for the lame-duck time, and only then refuses.
-  it('serves on until the balancer has noticed that it leaves', async () => {
+  // The router is stopped while the load balancer still sends it requests. It must fail its health check at
+  // once, keep serving for the lame-duck period, and only then refuse requests.
+  it('keeps serving until the load balancer has noticed that it is stopping', async () => {
     const timers = createVirtualTimers()
     const leaving = await startForTest(timers, createFakeRecords())
     const stopped = leaving.stop()
--- a/packages/router/src/router/startRouter.ts
+++ b/packages/router/src/router/startRouter.ts
@@ -18,13 +18,13 @@
 import type { BetweenRouters } from '@figmount/peers'
 import type { RouterParts } from './types.js'
 
-/** Connections that are still busy this long after the last request has ended are closed. */
+/** Time after the last request has ended until busy connections are closed. */
 const CLOSE_WAIT_MS = 500
 
-/** Largest RPC message: a prompt, which JSON may write twice as long, and some room for the rest. */
-const messageBytes = (promptBytes: number): number => promptBytes * 2 + 64 * 1024
+/** Returns the maximum size of an RPC message: a prompt, whose JSON encoding may be twice as long, plus the other fields. */
+const maxMessageBytesFor = (promptBytes: number): number => promptBytes * 2 + 64 * 1024
 
-/** Puts a router together and starts it. */
+/** Assembles a router from its parts and starts it. */
 export const startRouter = async (parts: RouterParts): Promise<RunningProcess> => {
   const { settings, instance, records, timers, events, metrics } = parts
   const { limits } = settings
@@ -47,7 +47,7 @@
     metrics,
     isHealthy: () => !isDraining,
     handlePlain: createPlainHandler({ context, gate, limits }),
-    maxMessageBytes: messageBytes(limits.prompt_bytes)
+    maxMessageBytes: maxMessageBytesFor(limits.prompt_bytes)
   })
   acceptLinks<BetweenRouters, BetweenRouters>(server.server, network.acceptContext, peers.accept)
   metrics.gauge('requests_running', gate.count)
--- a/packages/router/src/router/startTasks.ts
+++ b/packages/router/src/router/startTasks.ts
@@ -21,20 +21,20 @@
   readonly suspects: Suspects
 }
 
-/** Name under which the router that writes snapshots is chosen. */
-const SNAPSHOTS = 'snapshots'
+/** Target name in the ranking that selects the router that writes snapshots. */
+const SNAPSHOT_TARGET = 'snapshots'
 
 const proposersOf = ({ parts, membership, network }: Options): (() => readonly InstanceName[]) =>
   createProposerList({ own: parts.instance, listed: membership.routers, cannotPropose: network.peers.cannotPropose })
 
-const followRecords = ({ parts, network, suspects }: Options): Unsubscribe => parts.records.onChange(changed => {
+const subscribeToRecords = ({ parts, network, suspects }: Options): Unsubscribe => parts.records.onChange(changed => {
   for (const { record } of changed) {
     if (record.kind === 'suspect.clear') suspects.clear(record.fingerprint)
   }
   network.peers.announce()
 })
 
-const followList = ({ parts, membership, network }: Options, signal: AbortSignal): void => {
+const startListPolling = ({ parts, membership, network }: Options, signal: AbortSignal): void => {
   const { instance, timers, events } = parts
   runInBackground(events, 'membership.poll', pollInstances({
     read: parts.readInstances,
@@ -48,7 +48,7 @@
   }))
 }
 
-const proposeRecords = (options: Options, signal: AbortSignal): void => {
+const startProposals = (options: Options, signal: AbortSignal): void => {
   const { parts, membership, network: { links } } = options
   const proposers = proposersOf(options)
   const { instance, records, timers, events } = parts
@@ -71,7 +71,7 @@
   }))
 }
 
-const writeSnapshots = (options: Options): Unsubscribe => {
+const startSnapshotWriter = (options: Options): Unsubscribe => {
   const { parts } = options
   const proposers = proposersOf(options)
   const { settings, instance, records, timers, events } = parts
@@ -79,21 +79,21 @@
     client: records,
     timers,
     events,
-    isMyTurn: () => shouldPropose(SNAPSHOTS, proposers(), instance, timers.unixMs()),
+    isMyTurn: () => shouldPropose(SNAPSHOT_TARGET, proposers(), instance, timers.unixMs()),
     periodMs: settings.records.snapshot_period_ms
   })
 }
 
-/** Starts what a router does beside serving requests; the returned function ends it. */
+/** Starts the background tasks of a router; the returned function stops them. */
 export const startTasks = (options: Options): Unsubscribe => {
   const stopping = new AbortController()
-  const unfollow = followRecords(options)
-  followList(options, stopping.signal)
-  proposeRecords(options, stopping.signal)
-  const stopSnapshots = writeSnapshots(options)
+  const unsubscribe = subscribeToRecords(options)
+  startListPolling(options, stopping.signal)
+  startProposals(options, stopping.signal)
+  const stopSnapshots = startSnapshotWriter(options)
   return () => {
     stopping.abort()
     stopSnapshots()
-    unfollow()
+    unsubscribe()
   }
 }
--- a/packages/router/src/router/stopRouter.ts
+++ b/packages/router/src/router/stopRouter.ts
@@ -11,13 +11,13 @@
   readonly gate: Gate
   readonly timers: TimerService
   readonly events: EventLog
-  /** Tells other routers that this one leaves. */
+  /** Announces to other routers that this one is leaving. */
   readonly announce: () => void
 }
 
 /**
- * Empties a router without cutting a request: it says that it leaves, goes on serving until
- * the balancer has noticed, then refuses new requests and lets the running ones finish.
+ * Drains a router without interrupting requests: announces that it is leaving, continues to serve
+ * until the load balancer has noticed, then refuses new requests and lets running ones finish.
  */
 export const stopRouter = async ({ settings, gate, timers, events, announce }: Options): Promise<void> => {
   events.emit(RouterEvent.drainBegun, { count: gate.count() })
--- a/packages/router/src/router/types.ts
+++ b/packages/router/src/router/types.ts
@@ -6,7 +6,7 @@
 import type { AbsentEngine } from '../voids/types.js'
 import type { RouterSettings } from '../settings/types.js'
 
-/** What a router is put together from; tests pass fakes of the platform. */
+/** Dependencies of a router; tests pass fakes of the platform. */
 export interface RouterParts extends ProcessContext<RouterSettings> {
   readonly instance: InstanceName
   readonly incarnation: Incarnation
@@ -15,8 +15,8 @@
   readonly chooseBackend: ChooseBackend
   readonly chooseRetryAfter: ChooseRetryAfter
   readonly proposeRights: ProposeRights
-  /** Opens the engine beside an instance that is off the list. */
+  /** Creates a client for the engine of an instance that is no longer on the platform's list. */
   readonly openAbsentEngine: (address: string) => AbsentEngine
-  /** Yields numbers in [0, 1). */
+  /** Returns numbers in [0, 1). */
   readonly random: () => number
 }
