--- a/packages/router/src/settings/routerSettings.ts
+++ b/packages/router/src/settings/routerSettings.ts
@@ -28,7 +28,7 @@
   return z.NEVER
 })
 
-/** Settings of a router. Every limit is on what comes from outside; docs/operate/router.md explains them. */
+/** Settings of a router. All limits apply to external input; docs/operate/router.md explains them. */
 export const routerSettings = z.strictObject({
   process: z.strictObject({
     instance: name,
@@ -42,21 +42,21 @@
     operator_keys: operatorKeys
   }, 'a section'),
   limits: z.strictObject({
-    /** Largest prompt or plain body in bytes. */
+    /** Maximum size of a prompt or plain body in bytes. */
     prompt_bytes: count(1_000_000),
     max_tokens: count(32_768),
     deadline_ms: count(600_000),
-    /** Requests that this router serves at a time; the rest is refused, "not run". */
+    /** Maximum number of concurrent requests; further ones are refused with "not run". */
     admitted_count: count(4_000)
   }).prefault({}),
   records: z.strictObject({
-    /** Time between snapshots; at most a quarter of the log's retention. */
+    /** Interval between snapshots; at most a quarter of the log's retention. */
     snapshot_period_ms: count(900_000)
   }).prefault({}),
   stop: z.strictObject({
-    /** New requests are still served for this long after a stop was asked for, until the balancer has noticed. */
+    /** Time after a stop request for which new requests are still served, until the load balancer has noticed. */
     lame_duck_ms: count(1_000, 0),
-    /** Running requests get this long to finish. */
+    /** Time for running requests to finish. */
     drain_ms: count(60_000, 0)
   }).prefault({})
 })
--- a/packages/router/src/settings/types.ts
+++ b/packages/router/src/settings/types.ts
@@ -1,7 +1,7 @@
 import type * as z from 'zod'
 import type { routerSettings } from './routerSettings.js'
 
-/** An operator, known by the hash of its key. */
+/** An operator, identified by the hash of its key. */
 export interface OperatorKey {
   readonly name: string
   readonly keySha256: string
