--- a/packages/router/src/bench/measureLinks.ts
+++ b/packages/router/src/bench/measureLinks.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what links to agents cost a router: bytes on the wire and the router's processor time,
- * per link and second. Agents run in a second process, so that the
- * processor time is the router's alone. Run: `npx tsx packages/router/src/bench/measureLinks.ts`.
+ * Measures the cost of links to agents for a router: bytes on the wire and CPU time of the router, per
+ * link and second. Agents run in a second process, so that the CPU time is the router's alone.
+ * Run: `npx tsx packages/router/src/bench/measureLinks.ts`.
  */
 import { fork } from 'node:child_process'
 import { createTimerService, sleep } from '@figmount/base'
@@ -24,36 +24,36 @@
   const agents = await serveFakeAgents(plan)
   process.send?.(agents.addresses)
   process.on('message', () => { process.send?.(agents.wireBytes()) })
-  // The timers of figmount do not keep a process alive; the channel to the parent does.
+  // The project's timers do not keep a process alive; the channel to the parent process does.
 }
 
-const ask = async <T>(child: ChildProcess): Promise<T> => await new Promise(resolve => {
+const requestByteCount = async <T>(child: ChildProcess): Promise<T> => await new Promise(resolve => {
   child.once('message', message => resolve(message as T))
   child.send('bytes')
 })
 
-const measure = async (name: string, thin: boolean, busy: boolean): Promise<void> => {
-  const plan: FakeAgentPlan = { agentCount: AGENT_COUNT, modelCount: MODEL_COUNT, thin, busy, tokensPerFrame: 1 }
+const measure = async (name: string, hasDeltaReports: boolean, busy: boolean): Promise<void> => {
+  const plan: FakeAgentPlan = { agentCount: AGENT_COUNT, modelCount: MODEL_COUNT, thin: hasDeltaReports, busy, tokensPerFrame: 1 }
   const child = fork(new URL(import.meta.url).pathname, [JSON.stringify(plan)], { execArgv: ['--import', 'tsx'] })
   const addresses = await new Promise<readonly string[]>(resolve => child.once('message', message => resolve(message as string[])))
   const links = await openBenchLinks(addresses)
   await sleepAwake(SETTLE_MS)
-  const bytesBefore = await ask<number>(child)
+  const bytesBefore = await requestByteCount<number>(child)
   const cpuBefore = process.cpuUsage()
   const startedAtMs = timers.nowMs()
   await sleepAwake(MEASURE_MS)
   const seconds = (timers.nowMs() - startedAtMs) / 1000
   const cpu = process.cpuUsage(cpuBefore)
-  const bytes = await ask<number>(child) - bytesBefore
+  const bytes = await requestByteCount<number>(child) - bytesBefore
   const perLink = AGENT_COUNT * seconds
   const cpuMs = (cpu.user + cpu.system) / MICROSECONDS_PER_MS
-  process.stdout.write(`${name.padEnd(28)} ${(bytes / perLink).toFixed(0).padStart(7)} B  ${(cpuMs / perLink).toFixed(3).padStart(7)} ms of processor per link and second\n`)
+  process.stdout.write(`${name.padEnd(28)} ${(bytes / perLink).toFixed(0).padStart(7)} B  ${(cpuMs / perLink).toFixed(3).padStart(7)} ms of CPU time per link and second\n`)
   links.stop()
   child.disconnect()
   child.kill()
 }
 
-// Figmount's timers do not keep a process alive by themselves.
+// The project's timers do not keep a process alive by themselves.
 const sleepAwake = async (durationMs: number): Promise<void> => {
   const awake = setInterval(() => {}, durationMs)
   await sleep(timers, durationMs)
--- a/packages/router/src/bench/measurePath.ts
+++ b/packages/router/src/bench/measurePath.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what a router's path costs: its processor time per request and per token, through the
- * callers' RPC and without it, for several sizes of frames. Agents and callers run in a second
- * process. Run: `npx tsx packages/router/src/bench/measurePath.ts`.
+ * Measures the cost of a router's request path: its CPU time per request and per token through the
+ * callers' RPC, for several frame sizes. Agents and callers run in a second process.
+ * Run: `npx tsx packages/router/src/bench/measurePath.ts`.
  */
 import { fork } from 'node:child_process'
 import { createClient } from '@connectrpc/connect'
@@ -52,7 +52,7 @@
   process.send?.(agents.addresses)
 }
 
-const answerOf = async <T>(child: ChildProcess): Promise<T> => await new Promise(resolve => child.once('message', message => resolve(message as T)))
+const nextMessage = async <T>(child: ChildProcess): Promise<T> => await new Promise(resolve => child.once('message', message => resolve(message as T)))
 
 interface Cost {
   readonly cpuMs: number
@@ -70,19 +70,19 @@
 const measure = async (tokenCount: number, tokensPerFrame: number): Promise<void> => {
   const plan: FakeAgentPlan = { agentCount: 1, modelCount: 1, thin: true, busy: false, tokensPerFrame }
   const child = fork(new URL(import.meta.url).pathname, [JSON.stringify(plan)], { execArgv: ['--import', 'tsx'] })
-  const [agentAddress = ''] = await answerOf<readonly string[]>(child)
+  const [agentAddress = ''] = await nextMessage<readonly string[]>(child)
   const router = await startBenchRouter(agentAddress)
   const run = async (requestCount: number): Promise<void> => {
     const load: Load = { router: router.address, requestCount, tokenCount, concurrency: CONCURRENCY }
-    const answer = answerOf<number>(child)
+    const answer = nextMessage<number>(child)
     child.send(load)
     const answered = await answer
-    if (answered !== requestCount) process.stdout.write(`only ${answered} of ${requestCount} were answered\n`)
+    if (answered !== requestCount) process.stdout.write(`only ${answered} of ${requestCount} requests were answered\n`)
   }
   await run(REQUEST_COUNT / 4)
   const cost = await costOf(async () => await run(REQUEST_COUNT))
   const perRequestMs = cost.cpuMs / REQUEST_COUNT
-  process.stdout.write(`${String(tokenCount).padStart(5)} tokens, ${String(tokensPerFrame).padStart(3)} a frame: ${perRequestMs.toFixed(3).padStart(8)} ms of processor per request, ${(perRequestMs * MICROSECONDS_PER_MS / tokenCount).toFixed(1).padStart(7)} us per token, ${(REQUEST_COUNT / cost.wallMs * 1000).toFixed(0).padStart(5)} requests a second\n`)
+  process.stdout.write(`${String(tokenCount).padStart(5)} tokens, ${String(tokensPerFrame).padStart(3)} per frame: ${perRequestMs.toFixed(3).padStart(8)} ms of CPU time per request, ${(perRequestMs * MICROSECONDS_PER_MS / tokenCount).toFixed(1).padStart(7)} us per token, ${(REQUEST_COUNT / cost.wallMs * 1000).toFixed(0).padStart(5)} requests per second\n`)
   child.disconnect()
   child.kill()
   await router.stop()
--- a/packages/router/src/bench/measureStorm.ts
+++ b/packages/router/src/bench/measureStorm.ts
@@ -1,6 +1,6 @@
 /**
- * Measures a storm of requests at a router whose places are all taken: processor time of a
- * refusal and memory. Callers and the agent run in a second process.
+ * Measures a burst of requests at a router that is already full: CPU time per refusal, and memory.
+ * Callers and the agent run in a second process.
  * Run: `npx tsx packages/router/src/bench/measureStorm.ts`.
  */
 import { fork } from 'node:child_process'
@@ -11,9 +11,9 @@
 import { serveFakeAgents } from './serveFakeAgents.js'
 import { startBenchRouter } from './startBenchRouter.js'
 
-interface Storm {
+interface BurstLoad {
   readonly router: string
-  /** Requests that hold all places until the process ends. */
+  /** Number of requests that fill the router until the process ends. */
   readonly heldCount: number
   readonly requestCount: number
 }
@@ -31,7 +31,7 @@
   requestKey: key, issuedAtMs: BigInt(Date.now()), deadlineMs: 600_000, repeatable: true, service: 'reader', model: 'model-0', prompt: 'wall'.repeat(250), maxTokens: 10
 })
 
-const runStorm = async ({ router, heldCount, requestCount }: Storm): Promise<number> => {
+const runBurst = async ({ router, heldCount, requestCount }: BurstLoad): Promise<number> => {
   const client = createClient(Inference, createTransport({ address: router, bearerKey: 'crew-key' }))
   const hold = async (key: string): Promise<void> => {
     for await (const frame of client.infer(requestOf(key))) if (frame.body.case === 'refusal') return
@@ -50,9 +50,9 @@
 }
 
 const runChild = async (): Promise<void> => {
-  const agents = await serveFakeAgents({ agentCount: 1, modelCount: 1, thin: true, busy: false, tokensPerFrame: 1, holds: true })
+  const agents = await serveFakeAgents({ agentCount: 1, modelCount: 1, thin: true, busy: false, tokensPerFrame: 1, isHolding: true })
   process.on('message', message => {
-    runStorm(message as Storm).then(refused => process.send?.(refused)).catch((error: Error) => { process.stderr.write(`${error.message}\n`) })
+    runBurst(message as BurstLoad).then(refused => process.send?.(refused)).catch((error: Error) => { process.stderr.write(`${error.message}\n`) })
   })
   process.send?.(agents.addresses[0])
 }
@@ -71,7 +71,7 @@
     const cpu = process.cpuUsage(before)
     const cpuMs = (cpu.user + cpu.system) / MICROSECONDS_PER_MS
     const memory = process.memoryUsage()
-    process.stdout.write(`${refused} refused, ${(refused / (timers.nowMs() - startedAtMs) * 1000).toFixed(0)} a second, ${(cpuMs / refused).toFixed(3)} ms of processor each, heap ${(memory.heapUsed / BYTES_PER_MB).toFixed(0)} MB, resident ${(memory.rss / BYTES_PER_MB).toFixed(0)} MB\n`)
+    process.stdout.write(`${refused} refused, ${(refused / (timers.nowMs() - startedAtMs) * 1000).toFixed(0)} per second, ${(cpuMs / refused).toFixed(3)} ms of CPU time each, heap ${(memory.heapUsed / BYTES_PER_MB).toFixed(0)} MB, resident ${(memory.rss / BYTES_PER_MB).toFixed(0)} MB\n`)
   }
   child.disconnect()
   child.kill()
--- a/packages/router/src/bench/openBenchLinks.ts
+++ b/packages/router/src/bench/openBenchLinks.ts
@@ -9,7 +9,7 @@
 
 const OPEN_MS = 2_000
 
-/** Opens a router's links to the light agents of `serveFakeAgents`, one for each address; agent `a0` is the first. */
+/** Opens a router's links to the agents of `serveFakeAgents`, one per address; the first address belongs to agent `a0`. */
 export const openBenchLinks = async (addresses: readonly string[]): Promise<AgentLinks> => {
   const timers = createTimerService()
   const instance = 'r1' as InstanceName
--- a/packages/router/src/bench/serveFakeAgents.ts
+++ b/packages/router/src/bench/serveFakeAgents.ts
@@ -6,22 +6,22 @@
 import type { AttemptId, DataCentre, Incarnation, InstanceName, LogOffset, ModelId } from '@figmount/base'
 import type { AgentReport, FromAgent, Link, ToAgent } from '@figmount/peers'
 
-/** How the agents of a measurement behave. */
+/** Behaviour of the agents in a measurement. */
 export interface FakeAgentPlan {
   readonly agentCount: number
   readonly modelCount: number
-  /** True to leave out of reports what has not changed. */
+  /** True to omit unchanged fields from reports. */
   readonly thin: boolean
   /** True to change one model's counts and the queue with every report. */
   readonly busy: boolean
   readonly tokensPerFrame: number
-  /** True to take requests and never answer them. */
-  readonly holds?: boolean
+  /** True to accept requests without ever answering them. */
+  readonly isHolding?: boolean
 }
 
 export interface FakeAgents {
   readonly addresses: readonly string[]
-  /** Bytes over all links in both directions, without TCP/IP headers. */
+  /** Bytes on all links in both directions, without TCP/IP headers. */
   readonly wireBytes: () => number
   readonly close: () => Promise<void>
 }
@@ -64,24 +64,24 @@
 }
 
 const runAgent = (instance: InstanceName, plan: FakeAgentPlan) => async (link: Link<FromAgent, ToAgent>): Promise<void> => {
-  const thin = createReportThinner()
+  const thinReport = createReportThinner()
   let sequence = 0
   for await (const message of link.received) {
     if (message.type === 'hello') {
       const report = reportAt(sequence++, plan)
-      thin(report)
+      thinReport(report)
       link.send({ type: 'welcome', instance, incarnation: '1' as Incarnation, dataCentre: 'aa-1' as DataCentre, report })
     }
     if (message.type === 'heartbeat') {
-      const whole = reportAt(sequence++, plan)
-      const report = plan.thin ? thin(whole) : whole
+      const fullReport = reportAt(sequence++, plan)
+      const report = plan.thin ? thinReport(fullReport) : fullReport
       link.send({ type: 'heartbeat.ack', sentAtMs: message.sentAtMs, ...(report ? { report } : {}) })
     }
-    if (message.type === 'start' && !plan.holds) sendAnswer(link, message.attemptId, message.request.maxTokens, plan.tokensPerFrame)
+    if (message.type === 'start' && !plan.isHolding) sendAnswer(link, message.attemptId, message.request.maxTokens, plan.tokensPerFrame)
   }
 }
 
-/** Serves agents on ports of their own that answer at once, so that only the router's costs are seen. */
+/** Serves agents that answer at once, each on its own port, so that only the router's costs are measured. */
 export const serveFakeAgents = async (plan: FakeAgentPlan): Promise<FakeAgents> => {
   const sockets: Socket[] = []
   const servers = await Promise.all(Array.from({ length: plan.agentCount }, async (_, index) => {
--- a/packages/router/src/bench/startBenchRouter.ts
+++ b/packages/router/src/bench/startBenchRouter.ts
@@ -11,7 +11,7 @@
 
 const timers = createTimerService()
 
-/** Starts a router over a log in memory, with one agent that holds the one model. */
+/** Starts a router with an in-memory log, one model and one agent that holds the right to it. */
 export const startBenchRouter = async (agentAddress: string, limits = ''): Promise<RunningProcess> => {
   const instance = 'r1' as InstanceName
   const incarnation = '1' as Incarnation
@@ -37,7 +37,7 @@
     chooseBackend: chooseLeastCost,
     chooseRetryAfter: spreadByDrainTime,
     proposeRights: () => [],
-    openAbsentEngine: () => { throw new Error('no instance is off the list') },
+    openAbsentEngine: () => { throw new Error('unexpected call: every instance is on the list') },
     random: Math.random
   })
 }
