--- a/packages/router/src/bin.ts
+++ b/packages/router/src/bin.ts
@@ -31,7 +31,7 @@
 
 await runBinary({
   name: 'figmount-router',
-  summary: 'Takes requests of callers and operators and sends each to a backend server.',
+  summary: 'Accepts requests from callers and operators and routes each to a backend server.',
   role: 'router',
   schema: routerSettings,
   instanceOf: settings => settings.process.instance,
--- a/packages/router/src/callers/createGate.test.ts
+++ b/packages/router/src/callers/createGate.test.ts
@@ -3,12 +3,12 @@
 import { createVirtualTimers } from '@figmount/base'
 import { RefusalReason } from '@figmount/schema'
 
-import { createBench, gather } from '../testing/createBench.js'
+import { createTestBench, collectParts } from '../testing/createTestBench.js'
 import { createGate } from './createGate.js'
 import { openRequest } from './openRequest.js'
 
 import type { AnswerPart } from '../answers/types.js'
-import type { Behave } from '../testing/createFakeAgent.js'
+import type { AgentBehaviour } from '../testing/createFakeAgent.js'
 
 const never = new AbortController().signal
 const reasonOf = (parts: readonly AnswerPart[]): RefusalReason | undefined => {
@@ -18,12 +18,12 @@
 
 describe('admission gate', () => {
   it('refuses at once when the router is full, and admits again after a request has ended', async () => {
-    const bench = createBench({ a1: () => {} })
+    const bench = createTestBench({ a1: () => {} })
     const gate = createGate(bench.timers, 1)
     const abort = new AbortController()
     const open = (signal: AbortSignal) => openRequest({ context: bench.context, gate, admit: () => Right(bench.admitted()), fields: {}, resendCount: 0, signal })
-    const first = gather(open(abort.signal))
-    expect(reasonOf(await gather(open(never)))).to.equal(RefusalReason.OVERLOADED)
+    const first = collectParts(open(abort.signal))
+    expect(reasonOf(await collectParts(open(never)))).to.equal(RefusalReason.OVERLOADED)
     abort.abort()
     await bench.finish(first)
     expect(gate.count()).to.equal(0)
@@ -33,18 +33,18 @@
   // The router is stopped while an answer streams. New requests must be refused with a short retry delay,
   // and the running one must receive its last frame before the router exits.
   it('lets running requests finish after it was closed', async () => {
-    const late: Behave = (message, say) => {
+    const late: AgentBehaviour = (message, send) => {
       if (message.type !== 'start') return
       const { attemptId } = message
-      bench.timers.after(2_000, () => say({ type: 'final', attemptId, frame: 0, tokenCount: 0, finishReason: 1, version: 'v1' }))
+      bench.timers.after(2_000, () => send({ type: 'final', attemptId, frame: 0, tokenCount: 0, finishReason: 1, version: 'v1' }))
     }
-    const bench = createBench({ a1: late })
+    const bench = createTestBench({ a1: late })
     const gate = createGate(bench.timers, 10)
     const open = () => openRequest({ context: bench.context, gate, admit: () => Right(bench.admitted()), fields: {}, resendCount: 0, signal: never })
-    const running = gather(open())
+    const running = collectParts(open())
     await bench.settle(100)
     gate.close()
-    expect(reasonOf(await gather(open()))).to.equal(RefusalReason.STOPPING)
+    expect(reasonOf(await collectParts(open()))).to.equal(RefusalReason.STOPPING)
     const emptied = gate.whenEmpty(10_000)
     expect((await bench.finish(running)).at(-1)?.kind).to.equal('final')
     expect(await emptied).to.equal(true)
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry process: callers' and operators' RPC, choice of backend server, retries, proposals of records. */
+/** The router process: RPC services for callers and operators, choice of backend servers, retries, and proposals of records. */
 export { RouterEvent } from './events.js'
 export { readPlatformList } from './membership/pollInstances.js'
 export type { ReadInstances } from './membership/pollInstances.js'
--- a/packages/router/src/requests/serveRequest.property.test.ts
+++ b/packages/router/src/requests/serveRequest.property.test.ts
@@ -2,13 +2,13 @@
 import fc from 'fast-check'
 import { FinishReason, RefusalReason, RunState } from '@figmount/schema'
 
-import { createBench, gather, tokensOf } from '../testing/createBench.js'
+import { createTestBench, collectParts, tokensOf } from '../testing/createTestBench.js'
 import { DEADLINE_GRACE_MS } from './constants.js'
 import { serveRequest } from './serveRequest.js'
 
 import type { AttemptId, InstanceName } from '@figmount/base'
 import type { FromAgent } from '@figmount/peers'
-import type { Behave } from '../testing/createFakeAgent.js'
+import type { AgentBehaviour } from '../testing/createFakeAgent.js'
 
 const SEED = 20_261_202
 const DEADLINE_MS = 30_000
@@ -28,7 +28,7 @@
 ]
 
 interface Fixture {
-  readonly behaviours: Readonly<Record<string, Behave>>
+  readonly behaviours: Readonly<Record<string, AgentBehaviour>>
   /** Attempts that began to run on any agent. */
   readonly ran: Set<AttemptId>
   /** Replaced once the agents exist. */
@@ -39,34 +39,34 @@
 const createFixture = (plan: Readonly<Record<string, readonly AgentAction[]>>): Fixture => {
   const ran = new Set<AttemptId>()
   const trouble = { cut: (_agent: string): void => {}, die: (_agent: string): void => {} }
-  const behaviourOf = (agent: string, turns: readonly AgentAction[]): Behave => {
+  const behaviourOf = (agent: string, turns: readonly AgentAction[]): AgentBehaviour => {
     let turn = 0
     const storedFrames = new Map<AttemptId, readonly FromAgent[]>()
-    return (message, say) => {
+    return (message, send) => {
       if (message.type === 'permit.ask') {
         const { attemptId, executor, executorIncarnation, request: { caller, requestKey } } = message
         const permit = { caller, requestKey, attemptId, executor, executorIncarnation, keysHolder: agent as InstanceName, keysFence: 1 as never }
-        return say({ type: 'permit.reply', askId: message.askId, reply: { kind: 'granted', permit } })
+        return send({ type: 'permit.reply', askId: message.askId, reply: { kind: 'granted', permit } })
       }
       if (message.type === 'resume') {
         const frames = storedFrames.get(message.attemptId)
-        if (!frames) return say({ type: 'unknown', attemptId: message.attemptId, incarnation: '1' as never })
-        for (const frame of frames.slice(message.fromFrame)) say(frame)
+        if (!frames) return send({ type: 'unknown', attemptId: message.attemptId, incarnation: '1' as never })
+        for (const frame of frames.slice(message.fromFrame)) send(frame)
       }
       if (message.type !== 'start') return
       const { attemptId, request } = message
       const action = turns[turn++ % turns.length]
       const frames = framesFrom(attemptId, request.doneTokens.length)
-      if (action === 'refuse') return say(refusal(attemptId, RunState.NOT_RUN))
+      if (action === 'refuse') return send(refusal(attemptId, RunState.NOT_RUN))
       if (action === 'silent') return
       if (action === 'lose') return trouble.cut(agent)
       ran.add(attemptId)
-      if (action === 'crash') return say(refusal(attemptId, RunState.MAY_HAVE_RUN))
-      if (action === 'stall') return say({ type: 'tokens', attemptId, frame: 0, firstTokenIndex: request.doneTokens.length, tokens: WORDS.slice(request.doneTokens.length, request.doneTokens.length + 1) })
+      if (action === 'crash') return send(refusal(attemptId, RunState.MAY_HAVE_RUN))
+      if (action === 'stall') return send({ type: 'tokens', attemptId, frame: 0, firstTokenIndex: request.doneTokens.length, tokens: WORDS.slice(request.doneTokens.length, request.doneTokens.length + 1) })
       storedFrames.set(attemptId, frames)
       if (action === 'cut') return trouble.cut(agent)
       if (action === 'die') return trouble.die(agent)
-      for (const frame of frames) say(frame)
+      for (const frame of frames) send(frame)
     }
   }
   const behaviours = Object.fromEntries(Object.entries(plan).map(([agent, turns]) => [agent, behaviourOf(agent, turns)]))
@@ -80,7 +80,7 @@
   it('returns a complete answer or a correct refusal in time', async () => {
     await fc.assert(fc.asyncProperty(agentActions, agentActions, fc.boolean(), fc.constantFrom('a1', 'a2'), async (first, second, repeatable, holder) => {
       const fixture = createFixture({ a1: first, a2: second })
-      const bench = createBench(fixture.behaviours)
+      const bench = createTestBench(fixture.behaviours)
       fixture.trouble.cut = agent => bench.agentOf(agent).cut()
       fixture.trouble.die = agent => {
         bench.agentOf(agent).setDown(true)
@@ -88,14 +88,14 @@
       }
       bench.grantKeys(holder)
       const beganAtMs = bench.timers.nowMs()
-      const parts = await bench.finish(gather(serveRequest(bench.context, bench.admitted({ repeatable }, DEADLINE_MS), never)))
+      const parts = await bench.finish(collectParts(serveRequest(bench.context, bench.admitted({ repeatable }, DEADLINE_MS), never)))
       const last = parts.at(-1)
       expect(last?.kind).to.be.oneOf(['final', 'refusal'])
       expect(bench.timers.nowMs() - beganAtMs).to.be.at.most(DEADLINE_MS + DEADLINE_GRACE_MS + 1_000)
       expect(tokensOf(parts)).to.deep.equal(WORDS.slice(0, tokensOf(parts).length))
       if (last?.kind === 'final') expect(tokensOf(parts)).to.have.length(WORDS.length)
       if (last?.kind === 'refusal' && last.note.runState === RunState.NOT_RUN) expect(fixture.ran.size).to.equal(0)
-      const startCount = ['a1', 'a2'].reduce((count, agent) => count + bench.agentOf(agent).heardOf('start').length, 0)
+      const startCount = ['a1', 'a2'].reduce((count, agent) => count + bench.agentOf(agent).receivedOf('start').length, 0)
       if (!repeatable) expect(startCount).to.be.at.most(1)
     }), { seed: SEED, numRuns: 60 })
   }).timeout(60_000)
--- a/packages/router/src/router/startRouter.test.ts
+++ b/packages/router/src/router/startRouter.test.ts
@@ -40,7 +40,7 @@
   chooseBackend: chooseFirstReady,
   chooseRetryAfter: retryAfterFixed,
   proposeRights: () => [],
-  openAbsentEngine: () => { throw new Error('no instance is off the list') },
+  openAbsentEngine: () => { throw new Error('unexpected call: every instance is on the list') },
   random: () => 0.5
 })
 
--- a/packages/router/src/routing/buildCandidates.test.ts
+++ b/packages/router/src/routing/buildCandidates.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { findReplicaRights } from '@figmount/records'
 
-import { createBench, MODEL } from '../testing/createBench.js'
+import { createTestBench, MODEL } from '../testing/createTestBench.js'
 import { buildCandidates } from './buildCandidates.js'
 import { createPrefixMap } from './createPrefixMap.js'
 import { createSendLog } from './createSendLog.js'
@@ -16,7 +16,7 @@
 
 describe('candidates', () => {
   it('exclude agents that are drained, leaving, gone or already tried', () => {
-    const bench = createBench({ a1: () => {}, a2: () => {} })
+    const bench = createTestBench({ a1: () => {}, a2: () => {} })
     const query: CandidateQuery = { replicas: findReplicaRights(bench.records.state(), MODEL), adapter: '', coldStartMs: 1, excluded: new Set() }
     const sources = bench.context.sourcesFor(MODEL, '')
     expect(namesOf(sources, query)).to.deep.equal(['a1', 'a2'])
--- a/packages/router/src/settings/routerSettings.ts
+++ b/packages/router/src/settings/routerSettings.ts
@@ -24,7 +24,7 @@
 const operatorKeys = z.string().default('').transform((text, context) => {
   const keys = readKeys(text)
   if (keys) return keys
-  context.addIssue({ code: 'custom', message: 'name:sha256 in hexadecimal, parted by commas' })
+  context.addIssue({ code: 'custom', message: 'name:sha256 in hexadecimal, separated by commas' })
   return z.NEVER
 })
 
--- a/packages/router/src/testing/createFakeAgent.ts
+++ b/packages/router/src/testing/createFakeAgent.ts
@@ -6,24 +6,24 @@
 import type { AgentReport, FromAgent, Link, ModelReport, ToAgent } from '@figmount/peers'
 import type { DialAgent } from '../links/types.js'
 
-/** What an agent does with a message; `say` answers on the link that it came on. */
-export type Behave = (message: ToAgent, say: (message: FromAgent) => void) => void
+/** Reaction of a fake agent to a message; `send` replies on the same link. */
+export type AgentBehaviour = (message: ToAgent, send: (message: FromAgent) => void) => void
 
-/** An agent in memory. */
+/** An in-memory agent. */
 export interface FakeAgent {
   readonly dial: DialAgent
-  readonly heard: () => readonly ToAgent[]
-  readonly heardOf: <T extends ToAgent['type']>(type: T) => readonly Extract<ToAgent, { type: T }>[]
-  /** Breaks every open link. */
+  readonly received: () => readonly ToAgent[]
+  readonly receivedOf: <T extends ToAgent['type']>(type: T) => readonly Extract<ToAgent, { type: T }>[]
+  /** Closes every open link. */
   readonly cut: () => void
-  /** Dials fail while the agent is down. */
+  /** Makes dials fail while the agent is down. */
   readonly setDown: (isDown: boolean) => void
   readonly setModels: (models: readonly ModelReport[]) => void
   readonly setQueuedSeconds: (seconds: number) => void
-  readonly say: (message: FromAgent) => void
+  readonly send: (message: FromAgent) => void
 }
 
-export const createFakeAgent = (instance: string, timers: TimerService, behave: Behave): FakeAgent => {
+export const createFakeAgent = (instance: string, timers: TimerService, behave: AgentBehaviour): FakeAgent => {
   const heard: ToAgent[] = []
   const links = new Set<{ readonly say: (message: FromAgent) => void, readonly end: () => void }>()
   let isDown = false
@@ -44,34 +44,34 @@
     models
   })
 
-  const answer = (message: ToAgent, say: (message: FromAgent) => void): void => {
+  const answer = (message: ToAgent, send: (message: FromAgent) => void): void => {
     heard.push(message)
     if (message.type === 'hello') {
-      return say({ type: 'welcome', instance: instance as InstanceName, incarnation: '1' as Incarnation, dataCentre: 'dc' as DataCentre, report: report() })
+      return send({ type: 'welcome', instance: instance as InstanceName, incarnation: '1' as Incarnation, dataCentre: 'dc' as DataCentre, report: report() })
     }
-    if (message.type === 'heartbeat') return say({ type: 'heartbeat.ack', sentAtMs: message.sentAtMs, report: report() })
-    behave(message, say)
+    if (message.type === 'heartbeat') return send({ type: 'heartbeat.ack', sentAtMs: message.sentAtMs, report: report() })
+    behave(message, send)
   }
 
   const openLink = (onOffset: (offset: LogOffset) => void): Link<ToAgent, FromAgent> => {
     const inbox = createInbox<FromAgent>()
-    let open = true
-    const say = (message: FromAgent): void => { if (open) inbox.push(message) }
+    let isOpen = true
+    const send = (message: FromAgent): void => { if (isOpen) inbox.push(message) }
     const end = (): void => {
-      open = false
+      isOpen = false
       links.delete(entry)
       inbox.end()
     }
-    const entry = { say, end }
+    const entry = { say: send, end }
     links.add(entry)
     onOffset(0 as LogOffset)
     return {
       peer: instance,
-      send: message => { if (open) answer(message, say) },
-      sendPacked: ({ body }) => { if (open) answer(body, say) },
+      send: message => { if (isOpen) answer(message, send) },
+      sendPacked: ({ body }) => { if (isOpen) answer(body, send) },
       received: inbox.values,
       close: end,
-      isOpen: () => open,
+      isOpen: () => isOpen,
       bufferedBytes: () => 0,
       lastHeardMs: timers.nowMs
     }
@@ -81,12 +81,12 @@
     dial: (_instance, onOffset) => isDown
       ? EitherAsync.liftEither(Left(makeFault(FaultKind.Unavailable, 'links.open', instance, 'refused')))
       : EitherAsync.liftEither(Right(openLink(onOffset))),
-    heard: () => heard,
-    heardOf: type => heard.filter((message): message is Extract<ToAgent, { type: typeof type }> => message.type === type),
+    received: () => heard,
+    receivedOf: type => heard.filter((message): message is Extract<ToAgent, { type: typeof type }> => message.type === type),
     cut: () => { for (const link of [...links]) link.end() },
     setDown: value => { isDown = value },
     setModels: value => { models = value },
     setQueuedSeconds: value => { queuedSeconds = value },
-    say: message => { for (const link of links) link.say(message) }
+    send: message => { for (const link of links) link.say(message) }
   }
 }
--- a/packages/router/src/testing/createFakeRecords.ts
+++ b/packages/router/src/testing/createFakeRecords.ts
@@ -5,10 +5,10 @@
 import type { InstanceName, LogOffset } from '@figmount/base'
 import type { LogRecord, NewRecord, PlacedRecord, RawRecord, RecordsClient } from '@figmount/records'
 
-/** The platform's log in memory, and one process's view of it. */
+/** An in-memory log, and one process's client for it. */
 export interface FakeRecords extends RecordsClient {
   readonly put: (record: NewRecord) => void
-  /** Appends fail while the log is down; what is put still arrives, as from a peer. */
+  /** Makes appends fail while the log is down; records added by `put` still arrive, as if received from a peer. */
   readonly setDown: (isDown: boolean) => void
   readonly offered: () => readonly RawRecord[]
 }
--- a/packages/router/src/testing/createBench.ts
+++ b/packages/router/src/testing/createTestBench.ts
@@ -16,9 +16,9 @@
 import type { AnswerPart } from '../answers/types.js'
 import type { ListedInstance } from '../membership/types.js'
 import type { AdmittedRequest, ServeContext } from '../requests/types.js'
-import type { Behave, FakeAgent } from './createFakeAgent.js'
+import type { AgentBehaviour, FakeAgent } from './createFakeAgent.js'
 
-/** Virtual time moves on in steps of this length, and for no more than this many. */
+/** Step of virtual time, and the maximum number of steps. */
 const STEP_MS = 10
 const MAX_STEPS = 20_000
 
@@ -30,8 +30,8 @@
   models: [{ name: 'm', versions: ['v1'], currentVersion: 'v1', minReplicas: 0, maxReplicas: 2, memoryMb: 10, checkpointMb: 10 }]
 }
 
-/** A router's inside with agents in memory and virtual time. */
-export const createBench = (behaviours: Readonly<Record<string, Behave>>) => {
+/** Creates the parts of a router that serve requests, with in-memory agents and virtual time. */
+export const createTestBench = (behaviours: Readonly<Record<string, AgentBehaviour>>) => {
   const timers = createVirtualTimers(1_000_000)
   const records = createFakeRecords()
   const events = createEventLog({ instance: ROUTER, role: 'router', timers })
@@ -41,7 +41,7 @@
     [name, { name, role: 'agent', dataCentre: 'dc' as DataCentre, peerAddress: '', backendAddress: '', leaving: false }])
   const agentOf = (name: string): FakeAgent => {
     const agent = agents.get(name)
-    if (!agent) throw new Error(`no agent ${name}`)
+    if (!agent) throw new Error(`the test bench has no agent ${name}`)
     return agent
   }
   const links = createAgentLinks({
@@ -91,7 +91,7 @@
     records.put({ kind: 'right.grant', right: { kind: 'replica', target: MODEL, slotIndex }, instance, incarnation: INCARNATION, expectedFence: 0 })
   }
 
-  /** Runs a task in virtual time until it is done. */
+  /** Advances virtual time until a task is done, and returns its result. */
   const finish = async <T>(task: Promise<T>): Promise<T> => {
     const done = task.then(() => true)
     for (let step = 0; step < MAX_STEPS; step += 1) {
@@ -102,7 +102,7 @@
     return await task
   }
 
-  /** Lets virtual time pass. */
+  /** Advances virtual time by `durationMs`. */
   const settle = async (durationMs: number): Promise<void> => await finish(sleep(timers, durationMs))
 
   const admitted = (run: Partial<AdmittedRequest['run']> = {}, deadlineMs = 60_000): AdmittedRequest => ({
@@ -136,13 +136,13 @@
   return { context, timers, records, events, links, agentOf, finish, settle, admitted, grantKeys }
 }
 
-/** Gathers an answer to its end. */
-export const gather = async (parts: AsyncIterable<AnswerPart>): Promise<readonly AnswerPart[]> => {
+/** Collects all parts of an answer. */
+export const collectParts = async (parts: AsyncIterable<AnswerPart>): Promise<readonly AnswerPart[]> => {
   const gathered: AnswerPart[] = []
   for await (const part of parts) gathered.push(part)
   return gathered
 }
 
-/** The tokens of an answer in the order in which a caller gets them. */
+/** Returns the tokens of an answer in the order of delivery. */
 export const tokensOf = (parts: readonly AnswerPart[]): readonly string[] =>
   parts.flatMap(part => part.kind === 'tokens' ? [...part.tokens] : [])
