--- a/packages/router/src/once/serveOnce.test.ts
+++ b/packages/router/src/once/serveOnce.test.ts
@@ -57,8 +57,8 @@
     expect(bench.agentOf('a1').receivedOf('resume')[0]?.attemptId).to.equal(EARLIER_ATTEMPT)
   })
 
-  // The holder is unreachable. A first send cannot have run, so the refusal says "not run". An earlier send may
-  // have been permitted before, so a resend is refused with "may have run".
+  // The holder is unreachable. A first send cannot have run, so the refusal says "not run". For a resend, the
+  // earlier send may have been permitted while the holder was still reachable, so the refusal says "may have run".
   it('reports the correct run state if the holder cannot be reached', async () => {
     for (const [resendCount, runState] of [[0, RunState.NOT_RUN], [1, RunState.MAY_HAVE_RUN]] as const) {
       const bench = createTestBench({ a1: answering, a2: granting })
@@ -84,7 +84,7 @@
     expect(bench.agentOf('a2').receivedOf('start')).to.have.length(0)
   })
 
-  // The executor does not know the attempt: its start was lost or the agent has restarted. A resend may
+  // The executor reports the attempt as unknown: its start was lost or the agent has restarted. A resend may
   // learn more from the holder of the keys right, but only for a limited number of resends.
   it('reports "may have run" if the executor does not know the attempt', async () => {
     for (const [resendCount, retryAfterMs] of [[0, 1_000], [5, 0]] as const) {
--- a/packages/router/src/peers/constants.ts
+++ b/packages/router/src/peers/constants.ts
@@ -18,4 +18,4 @@
 export const REDIAL_MS = 1_000
 
 /** Changes of the own offset within this time are announced together. */
-export const ANNOUNCE_DEBOUNCE_MS = 20
+export const ANNOUNCE_DELAY_MS = 20
--- a/packages/router/src/peers/createExchange.test.ts
+++ b/packages/router/src/peers/createExchange.test.ts
@@ -23,7 +23,7 @@
     forwardSuspicion: (_suspicion: Suspicion, from) => { forwardedFrom.push(from) },
     onLeaving: () => {}
   })
-  return { timers, records, exchange, spread: forwardedFrom, sent, send: (message: GossipMessage) => { sent.push(message) } }
+  return { timers, records, exchange, forwardedFrom, sent, send: (message: GossipMessage) => { sent.push(message) } }
 }
 
 describe('record and suspicion exchange between peers', () => {
@@ -46,11 +46,11 @@
   })
 
   it('forwards a suspicion once', () => {
-    const { exchange, spread, send } = createFixture()
+    const { exchange, forwardedFrom, send } = createFixture()
     const suspicion = { type: 'suspect', fingerprints: ['f'], deathId: 'd', instance: 'a1' as InstanceName } as const
     exchange.take('a1', suspicion, send)
     exchange.take('r2', suspicion, send)
-    expect(spread).to.deep.equal(['a1'])
+    expect(forwardedFrom).to.deep.equal(['a1'])
   })
 
   it('reaches every router through its neighbours within a few hops', () => {
--- a/packages/router/src/peers/createExchange.ts
+++ b/packages/router/src/peers/createExchange.ts
@@ -29,7 +29,7 @@
  * Exchanges records and suspicions with peers, so that a process that is disconnected from the log
  * still receives them. Records that arrive late are harmless, because the fold never goes back.
  */
-export const createExchange = ({ records, suspects, timers, events, forwardSuspicion: spread, onLeaving }: Options): Exchange => {
+export const createExchange = ({ records, suspects, timers, events, forwardSuspicion, onLeaving }: Options): Exchange => {
   let isRequestPending = false
 
   const receiveOffset = (offset: LogOffset, send: SendGossip): void => {
@@ -45,7 +45,7 @@
   const receiveSuspicion = (peer: string, suspicion: Suspicion): void => {
     if (!suspects.addFromPeer(suspicion)) return
     events.emit(RouterEvent.suspectHeard, { peer, reason: suspicion.deathId, count: suspicion.fingerprints.length })
-    spread(suspicion, peer)
+    forwardSuspicion(suspicion, peer)
   }
 
   const take = (peer: string, message: SharedMessage, send: SendGossip): void => match(message)
--- a/packages/router/src/peers/createRouterPeers.ts
+++ b/packages/router/src/peers/createRouterPeers.ts
@@ -4,7 +4,7 @@
 
 import { RouterEvent } from '../events.js'
 import { receiveSafely } from '../links/receiveSafely.js'
-import { ANNOUNCE_DEBOUNCE_MS, REDIAL_MS } from './constants.js'
+import { ANNOUNCE_DELAY_MS, REDIAL_MS } from './constants.js'
 
 import type { EitherAsync } from 'purify-ts'
 import type { EventLog, Fault, Incarnation, InstanceName, LogOffset, TimerService } from '@figmount/base'
@@ -36,7 +36,7 @@
   readonly broadcast: (message: BetweenRouters, except?: string) => void
   /** Sends on a link to the named router, if one is open. */
   readonly sendTo: (peer: string, message: BetweenRouters) => void
-  /** Announces a change of the own offset to neighbours within ANNOUNCE_DEBOUNCE_MS. */
+  /** Announces a change of the own offset to neighbours within ANNOUNCE_DELAY_MS. */
   readonly announce: () => void
   readonly views: () => ReadonlyMap<InstanceName, PeerView>
   /** True for a neighbour that cannot be dialled or has reported that it cannot make proposals. */
@@ -134,7 +134,7 @@
     announce: () => {
       if (isAnnouncing) return
       isAnnouncing = true
-      timers.after(ANNOUNCE_DEBOUNCE_MS, () => {
+      timers.after(ANNOUNCE_DELAY_MS, () => {
         isAnnouncing = false
         for (const link of links.keys()) sendHeartbeat(link)
       })
--- a/packages/router/src/proposals/createProposerList.test.ts
+++ b/packages/router/src/proposals/createProposerList.test.ts
@@ -8,7 +8,7 @@
 
 describe('list of proposing routers', () => {
   // One of two routers is disconnected from the log while new models are configured. The other router must
-  // grant the rights for which it is the other one's turn, because callers of these models are waiting.
+  // grant the rights although it is not its turn, because callers of these models are waiting.
   it('excludes routers that cannot propose, but never the own one', () => {
     const cut = new Set<string>()
     const proposers = createProposerList({ own: 'r1' as InstanceName, listed: () => names('r1', 'r2', 'r3'), cannotPropose: peer => cut.has(peer) })
--- a/packages/router/src/proposals/runProposer.ts
+++ b/packages/router/src/proposals/runProposer.ts
@@ -31,7 +31,7 @@
 /** Maximum time between rounds; a change of the state starts one earlier. */
 const MAX_ROUND_INTERVAL_MS = 500
 /** Changes within this time are covered by one round. */
-const DEBOUNCE_MS = 25
+const COALESCE_MS = 25
 
 const findProposals = ({ instance, records, membership, proposers, proposeRights, engineOf, isStopping, isLoaded, timers }: Options): readonly NewRecord[] => {
   const routers = proposers()
@@ -52,7 +52,7 @@
   while (!signal.aborted) {
     const proposals = isLogFresh(records, timers) ? findProposals(options) : []
     await Promise.all(proposals.map(async record => await submitProposal(options, record)))
-    if (await changes.take(MAX_ROUND_INTERVAL_MS, signal)) await sleep(timers, DEBOUNCE_MS, signal)
+    if (await changes.take(MAX_ROUND_INTERVAL_MS, signal)) await sleep(timers, COALESCE_MS, signal)
   }
   unsubscribe()
 }
--- a/packages/router/src/retries/createCallerShares.ts
+++ b/packages/router/src/retries/createCallerShares.ts
@@ -2,7 +2,7 @@
 
 /** Number of concurrent requests that each caller has in the router. */
 export interface CallerShares {
-  /** False if the router is more than half full and the caller has used up its share. */
+  /** False if the router is at least half full and the caller has used up its share. */
   readonly enter: (caller: CallerName, share: number) => boolean
   readonly leave: (caller: CallerName) => void
 }
--- a/packages/router/src/testing/createFakeAgent.ts
+++ b/packages/router/src/testing/createFakeAgent.ts
@@ -24,7 +24,7 @@
 }
 
 export const createFakeAgent = (instance: string, timers: TimerService, behave: AgentBehaviour): FakeAgent => {
-  const heard: ToAgent[] = []
+  const received: ToAgent[] = []
   const links = new Set<{ readonly say: (message: FromAgent) => void, readonly end: () => void }>()
   let isDown = false
   let sequence = 0
@@ -45,7 +45,7 @@
   })
 
   const answer = (message: ToAgent, send: (message: FromAgent) => void): void => {
-    heard.push(message)
+    received.push(message)
     if (message.type === 'hello') {
       return send({ type: 'welcome', instance: instance as InstanceName, incarnation: '1' as Incarnation, dataCentre: 'dc' as DataCentre, report: report() })
     }
@@ -81,8 +81,8 @@
     dial: (_instance, onOffset) => isDown
       ? EitherAsync.liftEither(Left(makeFault(FaultKind.Unavailable, 'links.open', instance, 'refused')))
       : EitherAsync.liftEither(Right(openLink(onOffset))),
-    received: () => heard,
-    receivedOf: type => heard.filter((message): message is Extract<ToAgent, { type: typeof type }> => message.type === type),
+    received: () => received,
+    receivedOf: type => received.filter((message): message is Extract<ToAgent, { type: typeof type }> => message.type === type),
     cut: () => { for (const link of [...links]) link.end() },
     setDown: value => { isDown = value },
     setModels: value => { models = value },
--- a/packages/router/src/testing/createTestBench.ts
+++ b/packages/router/src/testing/createTestBench.ts
@@ -31,11 +31,11 @@
 }
 
 /** Creates the parts of a router that serve requests, with in-memory agents and virtual time. */
-export const createTestBench = (behaviours: Readonly<Record<string, AgentBehaviour>>) => {
+export const createTestBench = (behaviourByAgent: Readonly<Record<string, AgentBehaviour>>) => {
   const timers = createVirtualTimers(1_000_000)
   const records = createFakeRecords()
   const events = createEventLog({ instance: ROUTER, role: 'router', timers })
-  const agents = new Map<string, FakeAgent>(Object.entries(behaviours).map(([name, behave]) => [name, createFakeAgent(name, timers, behave)]))
+  const agents = new Map<string, FakeAgent>(Object.entries(behaviourByAgent).map(([name, behave]) => [name, createFakeAgent(name, timers, behave)]))
   const names = [...agents.keys()] as InstanceName[]
   const listed = names.map((name): [InstanceName, ListedInstance] =>
     [name, { name, role: 'agent', dataCentre: 'dc' as DataCentre, peerAddress: '', backendAddress: '', leaving: false }])
