--- a/packages/router/src/testing/createFakeAgent.ts
+++ b/packages/router/src/testing/createFakeAgent.ts
@@ -25,7 +25,7 @@
 
 export const createFakeAgent = (instance: string, timers: TimerService, behave: AgentBehaviour): FakeAgent => {
   const received: ToAgent[] = []
-  const links = new Set<{ readonly say: (message: FromAgent) => void, readonly end: () => void }>()
+  const links = new Set<{ readonly deliver: (message: FromAgent) => void, readonly end: () => void }>()
   let isDown = false
   let sequence = 0
   let models: readonly ModelReport[] = []
@@ -62,7 +62,7 @@
       links.delete(entry)
       inbox.end()
     }
-    const entry = { say: send, end }
+    const entry = { deliver: send, end }
     links.add(entry)
     onOffset(0 as LogOffset)
     return {
@@ -87,6 +87,6 @@
     setDown: value => { isDown = value },
     setModels: value => { models = value },
     setQueuedSeconds: value => { queuedSeconds = value },
-    send: message => { for (const link of links) link.say(message) }
+    send: message => { for (const link of links) link.deliver(message) }
   }
 }
