--- a/packages/router/src/router/startTasks.ts
+++ b/packages/router/src/router/startTasks.ts
@@ -5,7 +5,7 @@
 import { pickNeighbours } from '../peers/pickNeighbours.js'
 import { createProposerList } from '../proposals/createProposerList.js'
 import { runProposer } from '../proposals/runProposer.js'
-import { isLoadedIn } from '../routing/isLoadedIn.js'
+import { isModelLoaded } from '../routing/isModelLoaded.js'
 import { watchAbsentEngines } from '../voids/watchAbsentEngines.js'
 
 import type { InstanceName, Unsubscribe } from '@figmount/base'
@@ -21,20 +21,20 @@
   readonly suspects: Suspects
 }
 
-/** Name under which the router that writes snapshots is chosen. */
-const SNAPSHOTS = 'snapshots'
+/** Target name in the ranking that selects the router that writes snapshots. */
+const SNAPSHOT_TARGET = 'snapshots'
 
 const proposersOf = ({ parts, membership, network }: Options): (() => readonly InstanceName[]) =>
   createProposerList({ own: parts.instance, listed: membership.routers, cannotPropose: network.peers.cannotPropose })
 
-const followRecords = ({ parts, network, suspects }: Options): Unsubscribe => parts.records.onChange(changed => {
+const subscribeToRecords = ({ parts, network, suspects }: Options): Unsubscribe => parts.records.onChange(changed => {
   for (const { record } of changed) {
     if (record.kind === 'suspect.clear') suspects.clear(record.fingerprint)
   }
   network.peers.announce()
 })
 
-const followList = ({ parts, membership, network }: Options, signal: AbortSignal): void => {
+const startListPolling = ({ parts, membership, network }: Options, signal: AbortSignal): void => {
   const { instance, timers, events } = parts
   runInBackground(events, 'membership.poll', pollInstances({
     read: parts.readInstances,
@@ -42,13 +42,13 @@
     events,
     signal,
     onRead: list => {
-      membership.takeList(list)
+      membership.updateList(list)
       network.peers.setNeighbours(pickNeighbours(instance, membership.routers()))
     }
   }))
 }
 
-const proposeRecords = (options: Options, signal: AbortSignal): void => {
+const startProposals = (options: Options, signal: AbortSignal): void => {
   const { parts, membership, network: { links } } = options
   const proposers = proposersOf(options)
   const { instance, records, timers, events } = parts
@@ -64,14 +64,14 @@
     proposeRights: parts.proposeRights,
     engineOf: absentEngines.reachOf,
     isStopping: agent => timers.nowMs() < (links.viewOf(agent)?.leavingUntilMs ?? -Infinity),
-    isLoaded: (agent, target) => isLoadedIn(links.viewOf(agent)?.report, target),
+    isLoaded: (agent, target) => isModelLoaded(links.viewOf(agent)?.report, target),
     timers,
     events,
     signal
   }))
 }
 
-const writeSnapshots = (options: Options): Unsubscribe => {
+const startSnapshotWriter = (options: Options): Unsubscribe => {
   const { parts } = options
   const proposers = proposersOf(options)
   const { settings, instance, records, timers, events } = parts
@@ -79,21 +79,21 @@
     client: records,
     timers,
     events,
-    isMyTurn: () => shouldPropose(SNAPSHOTS, proposers(), instance, timers.unixMs()),
+    isMyTurn: () => shouldPropose(SNAPSHOT_TARGET, proposers(), instance, timers.unixMs()),
     periodMs: settings.records.snapshot_period_ms
   })
 }
 
-/** Starts what a router does beside serving requests; the returned function ends it. */
+/** Starts the background tasks of a router; the returned function stops them. */
 export const startTasks = (options: Options): Unsubscribe => {
   const stopping = new AbortController()
-  const unfollow = followRecords(options)
-  followList(options, stopping.signal)
-  proposeRecords(options, stopping.signal)
-  const stopSnapshots = writeSnapshots(options)
+  const unsubscribe = subscribeToRecords(options)
+  startListPolling(options, stopping.signal)
+  startProposals(options, stopping.signal)
+  const stopSnapshots = startSnapshotWriter(options)
   return () => {
     stopping.abort()
     stopSnapshots()
-    unfollow()
+    unsubscribe()
   }
 }
