--- a/packages/agent/src/agent/createAgent.test.ts
+++ b/packages/agent/src/agent/createAgent.test.ts
@@ -4,7 +4,7 @@
 import { MODEL, modelSpec, startAgentForTest } from '../testing/startAgentForTest.js'
 
 import type { InstanceName } from '@figmount/base'
-import type { ToAgent } from '@figmount/peers'
+import type { RouterToAgentMessage } from '@figmount/peers'
 
 const replica = { kind: 'replica', target: MODEL, slotIndex: 0 } as const
 
@@ -43,8 +43,8 @@
     const { advance, connect, grant, events } = await startAgentForTest()
     grant(replica)
     const router = connect()
-    router.send({ type: 'of a newer build' } as unknown as ToAgent)
-    router.send({ type: 'start', attemptId: 'bad' } as unknown as ToAgent)
+    router.send({ type: 'of a newer build' } as unknown as RouterToAgentMessage)
+    router.send({ type: 'start', attemptId: 'bad' } as unknown as RouterToAgentMessage)
     router.start('a')
     await advance(500)
     expect(router.finalOf('a')?.tokenCount).to.equal(3)
--- a/packages/agent/src/agent/startAgent.test.ts
+++ b/packages/agent/src/agent/startAgent.test.ts
@@ -9,7 +9,7 @@
 import { startAgent } from './startAgent.js'
 
 import type { AttemptId, InstanceName, LogOffset, RunningProcess } from '@figmount/base'
-import type { FromAgent, Link, ToAgent } from '@figmount/peers'
+import type { AgentToRouterMessage, Link, RouterToAgentMessage } from '@figmount/peers'
 import type { RecordsClient } from '@figmount/records'
 
 const timers = createTimerService()
@@ -31,8 +31,8 @@
   const stops: Array<() => Promise<void> | void> = []
   let agent: RunningProcess
   let records: RecordsClient
-  let link: Link<ToAgent, FromAgent>
-  const heard: FromAgent[] = []
+  let link: Link<RouterToAgentMessage, AgentToRouterMessage>
+  const heard: AgentToRouterMessage[] = []
 
   beforeEach(async () => {
     heard.length = 0
@@ -50,7 +50,7 @@
     })
     const common = { ...processOf(router), instance: router }
     records = createRecordsClient({ ...common, address: log.address, incarnation: makeIncarnation(1) })
-    const opened = await openLink<ToAgent, FromAgent>(agent.address, { ...common, sharedKey: 'k', offset: () => 0 as LogOffset, onPeerOffset: () => {} }).run()
+    const opened = await openLink<RouterToAgentMessage, AgentToRouterMessage>(agent.address, { ...common, sharedKey: 'k', offset: () => 0 as LogOffset, onPeerOffset: () => {} }).run()
     link = opened.unsafeCoerce()
     const read = async (): Promise<void> => { for await (const message of link.received) heard.push(message) }
     read().catch(error => { throw error })
--- a/packages/agent/src/agent/startAgent.ts
+++ b/packages/agent/src/agent/startAgent.ts
@@ -10,7 +10,7 @@
 import { createAgent } from './createAgent.js'
 
 import type { InstanceName, ProcessContext, RunningProcess } from '@figmount/base'
-import type { FromAgent, ToAgent } from '@figmount/peers'
+import type { AgentToRouterMessage, RouterToAgentMessage } from '@figmount/peers'
 import type { AgentSettings } from '../settings/agentSettings.js'
 import type { AgentContext, AgentDecisions } from './types.js'
 
@@ -48,7 +48,7 @@
     ...(settings.backend.kind === 'engine' ? { engine: createEngineClient(settings.backend.address) } : {})
   })
   const server = await serveRpc({ host: settings.process.host, port: settings.process.port, metrics, routes: () => {} })
-  acceptLinks<FromAgent, ToAgent>(server.server, agent.linkContext, agent.runLink)
+  acceptLinks<AgentToRouterMessage, RouterToAgentMessage>(server.server, agent.linkContext, agent.runLink)
   return {
     address: server.address,
     stop: async () => {
--- a/packages/agent/src/attempts/types.ts
+++ b/packages/agent/src/attempts/types.ts
@@ -1,16 +1,16 @@
 import type { AttemptId } from '@figmount/base'
-import type { FromAgent, PlainAnswer, RefusalNote, RunRequest } from '@figmount/peers'
+import type { AgentToRouterMessage, PlainAnswer, RefusalNote, RunRequest } from '@figmount/peers'
 import type { FinishReason, WaitState } from '@figmount/schema'
 
 /** A numbered message of an attempt, kept until acknowledged. */
-export type Frame = Extract<FromAgent, { readonly type: 'tokens' | 'final' }>
+export type Frame = Extract<AgentToRouterMessage, { readonly type: 'tokens' | 'final' }>
 
 /** What an agent says about one attempt. */
-export type AttemptMessage = Extract<FromAgent, { readonly type: 'progress' | 'tokens' | 'final' | 'refused' }>
+export type AttemptMessage = Extract<AgentToRouterMessage, { readonly type: 'progress' | 'tokens' | 'final' | 'refused' }>
 
 /** Somebody that an attempt's messages go to, under the attempt id that it asked with. */
 export interface Subscriber {
-  readonly send: (message: FromAgent) => void
+  readonly send: (message: AgentToRouterMessage) => void
   readonly isOpen: () => boolean
 }
 
--- a/packages/agent/src/bench/measureHotPath.ts
+++ b/packages/agent/src/bench/measureHotPath.ts
@@ -15,7 +15,7 @@
 import { aRequest, MODEL, modelSpec } from '../testing/startAgentForTest.js'
 
 import type { AttemptId, InstanceName, LogOffset } from '@figmount/base'
-import type { FromAgent, Link, ToAgent } from '@figmount/peers'
+import type { AgentToRouterMessage, Link, RouterToAgentMessage } from '@figmount/peers'
 
 const STREAM_COUNT = 64
 const TOKENS_PER_STREAM = 1_000
@@ -77,7 +77,7 @@
 if (!facts) throw new Error('the agent is not announced')
 await records.append({ kind: 'right.grant', right: { kind: 'replica', target: MODEL, slotIndex: 0 }, instance: facts.instance, incarnation: facts.incarnation, expectedFence: 0 }).run()
 
-const link: Link<ToAgent, FromAgent> = (await openLink<ToAgent, FromAgent>(address, { ...common, sharedKey: 'k', offset: () => 0 as LogOffset, onPeerOffset: () => {} }).run()).unsafeCoerce()
+const link: Link<RouterToAgentMessage, AgentToRouterMessage> = (await openLink<RouterToAgentMessage, AgentToRouterMessage>(address, { ...common, sharedKey: 'k', offset: () => 0 as LogOffset, onPeerOffset: () => {} }).run()).unsafeCoerce()
 let finalCount = 0
 let refusedCount = 0
 let tokenCount = 0
--- a/packages/agent/src/links/createLinkBook.ts
+++ b/packages/agent/src/links/createLinkBook.ts
@@ -1,9 +1,9 @@
 import { BEHIND_MS } from './constants.js'
 
 import type { LogOffset, TimerService } from '@figmount/base'
-import type { FromAgent, Link, ToAgent } from '@figmount/peers'
+import type { AgentToRouterMessage, Link, RouterToAgentMessage } from '@figmount/peers'
 
-export type RouterLink = Link<FromAgent, ToAgent>
+export type RouterLink = Link<AgentToRouterMessage, RouterToAgentMessage>
 
 interface Lag {
   readonly sinceMs: number
@@ -14,7 +14,7 @@
 export interface LinkBook {
   readonly add: (link: RouterLink) => void
   readonly remove: (link: RouterLink) => void
-  readonly sendAll: (message: FromAgent) => void
+  readonly sendAll: (message: AgentToRouterMessage) => void
   readonly closeAll: (reason: string) => void
   readonly count: () => number
   readonly bufferedBytes: () => number
--- a/packages/agent/src/links/runRouterLink.ts
+++ b/packages/agent/src/links/runRouterLink.ts
@@ -1,11 +1,11 @@
 import { match } from 'ts-pattern'
 import { BaseEvent } from '@figmount/base'
-import { createReportThinner } from '@figmount/peers'
+import { createDeltaReporter } from '@figmount/peers'
 
 import { MAX_REASON_LENGTH, RECORDS_PER_MESSAGE } from './constants.js'
 
 import type { AttemptId, DataCentre } from '@figmount/base'
-import type { AgentReport, PermitReply, ToAgent } from '@figmount/peers'
+import type { AgentReport, PermitReply, RouterToAgentMessage } from '@figmount/peers'
 import type { HandleStart } from '../agent/createAdmission.js'
 import type { AgentContext } from '../agent/types.js'
 import type { AttemptStore } from '../attempts/types.js'
@@ -13,9 +13,9 @@
 import type { KeyName } from '../once/types.js'
 import type { RouterLink } from './createLinkBook.js'
 
-type ThinReport = ReturnType<typeof createReportThinner>
+type ThinReport = ReturnType<typeof createDeltaReporter>
 
-type PermitAsk = Extract<ToAgent, { type: 'permit.ask' }>
+type PermitAsk = Extract<RouterToAgentMessage, { type: 'permit.ask' }>
 
 /** What a router's messages are handed to. */
 export interface LinkHandlers {
@@ -33,7 +33,7 @@
   readonly onClose: (link: RouterLink) => void
 }
 
-const handle = (handlers: LinkHandlers, link: RouterLink, thinReport: ThinReport, message: ToAgent): void => {
+const handle = (handlers: LinkHandlers, link: RouterLink, thinReport: ThinReport, message: RouterToAgentMessage): void => {
   const { context, attempts } = handlers
   const { records, instance, incarnation, settings } = context
   return match(message)
@@ -72,7 +72,7 @@
 }
 
 /** A message of a newer build, or one without a field, is told and passed over; the link's other attempts go on. */
-const handleSafely = (handlers: LinkHandlers, link: RouterLink, thinReport: ThinReport, message: ToAgent): void => {
+const handleSafely = (handlers: LinkHandlers, link: RouterLink, thinReport: ThinReport, message: RouterToAgentMessage): void => {
   try {
     handle(handlers, link, thinReport, message)
   } catch (error) {
@@ -82,7 +82,7 @@
 
 /** The task of one router's connection: reads its messages until it ends. Attempts outlive it. */
 export const runRouterLink = (handlers: LinkHandlers) => async (link: RouterLink): Promise<void> => {
-  const thinReport = createReportThinner()
+  const thinReport = createDeltaReporter()
   handlers.onOpen(link)
   try {
     for await (const message of link.received) handleSafely(handlers, link, thinReport, message)
--- a/packages/agent/src/queueing/createEstimates.ts
+++ b/packages/agent/src/queueing/createEstimates.ts
@@ -1,4 +1,4 @@
-import { guess, observe, upperBound } from '@figmount/decisions'
+import { initialEstimate, observe, upperBound } from '@figmount/decisions'
 
 import type { ModelId, TimerService } from '@figmount/base'
 import type { Estimate } from '@figmount/decisions'
@@ -76,7 +76,7 @@
       const known = tokens.get(model)
       if (tokenCount >= maxTokens && tokenCount <= (known?.mean ?? Number.POSITIVE_INFINITY)) return
       if (tokens.size >= MAX_MODELS && !known) tokens.clear()
-      tokens.set(model, observe(known ?? guess(tokenCount), tokenCount))
+      tokens.set(model, observe(known ?? initialEstimate(tokenCount), tokenCount))
     },
     noteStart: tokenCount => { startedTokens = observe(startedTokens, tokenCount) },
     meanTokens: () => startedTokens.mean,
--- a/packages/agent/src/testing/startAgentForTest.ts
+++ b/packages/agent/src/testing/startAgentForTest.ts
@@ -10,7 +10,7 @@
 import { createFakeLog } from './createFakeLog.js'
 
 import type { AttemptId, CallerName, EventRecord, Incarnation, InstanceName, LogOffset, ModelId, RequestKey, ServiceName, VirtualTimers } from '@figmount/base'
-import type { FromAgent, Link, Permit, RefusalNote, RunRequest, ToAgent } from '@figmount/peers'
+import type { AgentToRouterMessage, Link, Permit, RefusalNote, RunRequest, RouterToAgentMessage } from '@figmount/peers'
 import type { RightKey } from '@figmount/records'
 import type { Agent } from '../agent/createAgent.js'
 import type { AgentDecisions } from '../agent/types.js'
@@ -28,11 +28,11 @@
 
 /** A router's end of a link. */
 export interface FakeRouter {
-  readonly send: (message: ToAgent) => void
-  readonly heard: readonly FromAgent[]
+  readonly send: (message: RouterToAgentMessage) => void
+  readonly heard: readonly AgentToRouterMessage[]
   readonly cut: () => void
   readonly tokensOf: (id: string) => readonly string[]
-  readonly finalOf: (id: string) => Extract<FromAgent, { type: 'final' }> | undefined
+  readonly finalOf: (id: string) => Extract<AgentToRouterMessage, { type: 'final' }> | undefined
   readonly refusalOf: (id: string) => RefusalNote | undefined
   readonly start: (id: string, request?: Partial<RunRequest>, permit?: Permit) => void
 }
@@ -67,15 +67,15 @@
 })
 
 const connectTo = (agent: Agent, timers: VirtualTimers, peer: string): FakeRouter => {
-  const inbox = createInbox<ToAgent>()
-  const heard: FromAgent[] = []
+  const inbox = createInbox<RouterToAgentMessage>()
+  const heard: AgentToRouterMessage[] = []
   let isOpen = true
   const cut = (): void => {
     isOpen = false
     inbox.end()
   }
-  const link: Link<FromAgent, ToAgent> = {
-    peer, send: message => { if (isOpen) heard.push(message) }, sendPacked: ({ body }) => { if (isOpen) heard.push(body) }, received: inbox.values, close: cut, isOpen: () => isOpen, bufferedBytes: () => 0, lastHeardMs: timers.nowMs
+  const link: Link<AgentToRouterMessage, RouterToAgentMessage> = {
+    peer, send: message => { if (isOpen) heard.push(message) }, sendPacked: ({ body }) => { if (isOpen) heard.push(body) }, received: inbox.values, close: cut, isOpen: () => isOpen, bufferedBytes: () => 0, lastReceivedMs: timers.nowMs
   }
   agent.runLink(link).catch(error => { throw error })
   return {
@@ -83,8 +83,8 @@
     heard,
     cut,
     tokensOf: id => heard.flatMap(message => message.type === 'tokens' && message.attemptId === id ? message.tokens : []),
-    finalOf: id => heard.find((message): message is Extract<FromAgent, { type: 'final' }> => message.type === 'final' && message.attemptId === id),
-    refusalOf: id => heard.find((message): message is Extract<FromAgent, { type: 'refused' }> => message.type === 'refused' && message.attemptId === id)?.refusal,
+    finalOf: id => heard.find((message): message is Extract<AgentToRouterMessage, { type: 'final' }> => message.type === 'final' && message.attemptId === id),
+    refusalOf: id => heard.find((message): message is Extract<AgentToRouterMessage, { type: 'refused' }> => message.type === 'refused' && message.attemptId === id)?.refusal,
     start: (id, request = {}, permit) => inbox.push({ type: 'start', attemptId: id as AttemptId, request: aRequest(timers.unixMs(), request), ...(permit ? { permit } : {}) })
   }
 }
--- a/packages/capacity/src/measuring/measureLinks.ts
+++ b/packages/capacity/src/measuring/measureLinks.ts
@@ -49,7 +49,7 @@
 }
 
 const measureAt = async (agentCount: number, busy: boolean): Promise<LinkCosts> => {
-  const plan: FakeAgentPlan = { agentCount, modelCount: MODEL_COUNT, thin: true, busy, tokensPerFrame: 1 }
+  const plan: FakeAgentPlan = { agentCount, modelCount: MODEL_COUNT, hasDeltaReports: true, busy, tokensPerFrame: 1 }
   const child = fork(new URL('./runFakeAgents.ts', import.meta.url).pathname, [JSON.stringify(plan)], { execArgv: ['--import', 'tsx'] })
   const addresses = await answerOf<readonly string[]>(child)
   const links = await openBenchLinks(addresses)
--- a/packages/decisions/src/estimates/observe.test.ts
+++ b/packages/decisions/src/estimates/observe.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 
-import { guess, initialModelEstimates, observe, observeWait, upperBound } from './observe.js'
+import { initialEstimate, initialModelEstimates, observe, observeWait, upperBound } from './observe.js'
 
 describe('estimates', () => {
   it('replace the initial value by the first observation', () => {
-    expect(observe(guess(500), 100)).to.deep.equal({ mean: 100, deviation: 50, observedCount: 1 })
+    expect(observe(initialEstimate(500), 100)).to.deep.equal({ mean: 100, deviation: 50, observedCount: 1 })
   })
 
   it('bound nine in ten of the observed values', () => {
-    let estimate = guess(1)
+    let estimate = initialEstimate(1)
     let coveredCount = 0
     for (let index = 0; index < 1_000; index++) {
       const value = 100 + (index * 37) % 50
--- a/packages/decisions/src/estimates/observe.ts
+++ b/packages/decisions/src/estimates/observe.ts
@@ -7,7 +7,7 @@
 const BOUND_DEVIATIONS = 2
 
 /** An estimate without observations; its deviation is as large as its value. */
-export const guess = (value: number): Estimate => ({ mean: value, deviation: value, observedCount: 0 })
+export const initialEstimate = (value: number): Estimate => ({ mean: value, deviation: value, observedCount: 0 })
 
 /** Updates an estimate with one observation. The first one replaces the initial value. */
 export const observe = (estimate: Estimate, value: number): Estimate => {
@@ -25,9 +25,9 @@
 
 /** Estimates for a model before its first request, from its configuration or the fleet's mean. */
 export const initialModelEstimates = (tokens: number, tokenIntervalMs: number, loadMs: number): ModelEstimates => ({
-  tokens: guess(tokens),
-  tokenIntervalMs: guess(tokenIntervalMs),
-  loadMs: guess(loadMs),
+  tokens: initialEstimate(tokens),
+  tokenIntervalMs: initialEstimate(tokenIntervalMs),
+  loadMs: initialEstimate(loadMs),
   waitRatio: { mean: 1, deviation: 0, observedCount: 0 }
 })
 
--- a/packages/decisions/src/loading/orderByNeed.test.ts
+++ b/packages/decisions/src/loading/orderByNeed.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 
-import { backOffByNeed } from './pace.js'
+import { backOffByNeed } from './backOff.js'
 import { orderByNeed } from './orderByNeed.js'
 
 import type { ModelId } from '@figmount/base'
--- a/packages/decisions/src/placing/chooseVictims.ts
+++ b/packages/decisions/src/placing/chooseVictims.ts
@@ -1,5 +1,5 @@
 import { MIN_RESIDENCE_MS, IN_USE_WINDOW_MS, WAITING_LOSS_LIMIT, WAIT_PER_LOSS_MS } from './constants.js'
-import { lateByFewer, countLateWhileAbsent } from './lateRequests.js'
+import { countLateWithFewerReplicas, countLateWhileAbsent } from './lateRequests.js'
 
 import type { PlacedModel } from './types.js'
 
@@ -32,8 +32,8 @@
 export const evictionLossOf = (resident: PlacedModel): number => {
   if (!resident.isDemandKnown && resident.replicaCount > 1) return resident.replicaCount * UNKNOWN_LOSS_PER_REPLICA + lossFromUse(resident)
   const lost = resident.replicaCount > 1
-    ? lateByFewer(resident, resident.replicaCount, resident.replicaCount - 1)
-    : countLateWhileAbsent(resident.requestsPerS, resident.returnsMs)
+    ? countLateWithFewerReplicas(resident, resident.replicaCount, resident.replicaCount - 1)
+    : countLateWhileAbsent(resident.requestsPerS, resident.reloadMs)
   return lost + lossFromUse(resident)
 }
 
@@ -55,7 +55,7 @@
  */
 export const chooseVictims = (residents: readonly PlacedModel[], neededMb: number): Eviction | undefined => {
   const movable = residents
-    .filter(resident => resident.heldMs >= MIN_RESIDENCE_MS)
+    .filter(resident => resident.residentMs >= MIN_RESIDENCE_MS)
     .sort((a, b) => evictionLossOf(a) - evictionLossOf(b) || b.idleMs - a.idleMs)
   const modelNames: string[] = []
   let freedMb = 0
@@ -80,7 +80,7 @@
   if (neededMb <= 0 || residents.length === 0) return 0
   let soonestMs = Infinity
   for (const resident of residents) {
-    const heldMs = Math.max(0, MIN_RESIDENCE_MS - resident.heldMs)
+    const heldMs = Math.max(0, MIN_RESIDENCE_MS - resident.residentMs)
     soonestMs = Math.min(soonestMs, Math.max(heldMs, allowedAfterMs(evictionLossOf(resident))) + unloadMsOf(resident))
   }
   return soonestMs
--- a/packages/decisions/src/placing/estimateBusy.test.ts
+++ b/packages/decisions/src/placing/estimateBusy.test.ts
@@ -4,8 +4,8 @@
 
 import type { QueuedLoad } from './estimateBusy.js'
 
-const COLD: QueuedLoad = { isAtHand: false, loadMs: 6_000 }
-const AT_HAND: QueuedLoad = { isAtHand: true, loadMs: 400 }
+const COLD: QueuedLoad = { hasLocalCopy: false, loadMs: 6_000 }
+const AT_HAND: QueuedLoad = { hasLocalCopy: true, loadMs: 400 }
 const IDLE = { loadingLeftMs: 0, coldWaitMs: 0, roomMs: 0, queued: [] }
 
 describe('estimateBusyMs', () => {
--- a/packages/decisions/src/placing/estimateBusy.ts
+++ b/packages/decisions/src/placing/estimateBusy.ts
@@ -1,7 +1,7 @@
 /** A load that was requested from an engine and has not started. */
 export interface QueuedLoad {
   /** The engine has a local copy of the weights, in memory or on disk. */
-  readonly isAtHand: boolean
+  readonly hasLocalCopy: boolean
   /** Time that the load takes while no other load slows it down. */
   readonly loadMs: number
 }
@@ -23,11 +23,11 @@
  *
  * Otherwise callers are refused by an idle engine because models without a local copy are queued on it.
  */
-export const estimateBusyMs = ({ loadingLeftMs, coldWaitMs, roomMs, queued }: EngineQueue, isAtHand: boolean): number => {
+export const estimateBusyMs = ({ loadingLeftMs, coldWaitMs, roomMs, queued }: EngineQueue, hasLocalCopy: boolean): number => {
   let busyMs = loadingLeftMs
   for (const load of queued) {
-    if (isAtHand && !load.isAtHand) continue
-    const beginMs = load.isAtHand ? busyMs : Math.max(busyMs, coldWaitMs)
+    if (hasLocalCopy && !load.hasLocalCopy) continue
+    const beginMs = load.hasLocalCopy ? busyMs : Math.max(busyMs, coldWaitMs)
     busyMs = beginMs + roomMs + load.loadMs
   }
   return busyMs
--- a/packages/decisions/src/placing/estimatePlaceWait.test.ts
+++ b/packages/decisions/src/placing/estimateSlotWait.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 
 import { makeRandom } from '../simulation/makeRandom.js'
-import { estimatePlaceWaitMs } from './estimatePlaceWait.js'
+import { estimateSlotWaitMs } from './estimateSlotWait.js'
 import { planWait } from './planWait.js'
 
 const PLACE_COUNT = 32
@@ -37,7 +37,7 @@
   let leftCount = 0
   let servedCount = 0
   const requestSlot = (caller: Caller): void => {
-    const waitMs = estimatePlaceWaitMs({ placeCount: PLACE_COUNT, occupancyMs: OCCUPANCY_MS, ...reported })
+    const waitMs = estimateSlotWaitMs({ slotCount: PLACE_COUNT, occupancyMs: OCCUPANCY_MS, ...reported })
     if (!isRefused(waitMs)) waiting.push(caller)
     else if (!caller.isRetry) returning.push({ ...caller, askedMs: caller.askedMs + RETRY_MS * (1 + randomLength()), isRetry: true })
   }
@@ -75,13 +75,13 @@
 
 const SEEDS = [1, 2, 3, 4, 5]
 
-describe('estimatePlaceWaitMs', () => {
+describe('estimateSlotWaitMs', () => {
   it('is 0 while a slot is free', () => {
-    expect(estimatePlaceWaitMs({ placeCount: 32, runningCount: 31, startingCount: 4, occupancyMs: 2_000 })).to.equal(0)
+    expect(estimateSlotWaitMs({ slotCount: 32, runningCount: 31, startingCount: 4, occupancyMs: 2_000 })).to.equal(0)
   })
 
   it('grows with the number of waiting requests', () => {
-    const waitMs = (startingCount: number): number => estimatePlaceWaitMs({ placeCount: 32, runningCount: 32, startingCount, occupancyMs: 1_920 })
+    const waitMs = (startingCount: number): number => estimateSlotWaitMs({ slotCount: 32, runningCount: 32, startingCount, occupancyMs: 1_920 })
     expect(waitMs(0)).to.equal(60)
     expect(waitMs(9)).to.equal(600)
   })
--- a/packages/decisions/src/placing/estimatePlaceWait.ts
+++ b/packages/decisions/src/placing/estimateSlotWait.ts
@@ -1,7 +1,7 @@
 /** Occupancy of an engine when one more request arrives. */
 export interface EngineSlots {
   /** Requests that the engine runs at the same time. */
-  readonly placeCount: number
+  readonly slotCount: number
   readonly runningCount: number
   /** Requests without a first event, including those that wait for a slot. */
   readonly startingCount: number
@@ -15,7 +15,7 @@
  * Load pattern: a model with more callers than its engines have slots. Its queue would grow until callers abandon streams without
  * a first event. Those that would leave are refused at once (`planWait`), so that they do not lengthen the queue.
  */
-export const estimatePlaceWaitMs = ({ placeCount, runningCount, startingCount, occupancyMs }: EngineSlots): number => {
-  if (runningCount < placeCount) return 0
-  return (startingCount + 1) * occupancyMs / placeCount
+export const estimateSlotWaitMs = ({ slotCount, runningCount, startingCount, occupancyMs }: EngineSlots): number => {
+  if (runningCount < slotCount) return 0
+  return (startingCount + 1) * occupancyMs / slotCount
 }
--- a/packages/decisions/src/placing/lateRequests.ts
+++ b/packages/decisions/src/placing/lateRequests.ts
@@ -18,12 +18,12 @@
 export const lateShare = (waitS: number): number => Math.min(1, waitS / LATE_WAIT_S)
 
 /** Expected requests within the horizon. */
-export const requestsAhead = ({ requestsPerS }: Pick<ModelLoad, 'requestsPerS'>): number => requestsPerS * LATE_HORIZON_S
+export const requestsInHorizon = ({ requestsPerS }: Pick<ModelLoad, 'requestsPerS'>): number => requestsPerS * LATE_HORIZON_S
 
 /** Requests within the horizon that become late while no server holds the model, for `absentMs`: those that arrive meanwhile. */
 export const countLateWhileAbsent = (requestsPerS: number, absentMs: number): number => {
   const absentS = absentMs / MS_PER_S
-  return Math.min(requestsAhead({ requestsPerS }), 1 + requestsPerS * absentS) * lateShare(absentS)
+  return Math.min(requestsInHorizon({ requestsPerS }), 1 + requestsPerS * absentS) * lateShare(absentS)
 }
 
 /** Mean queueing delay at a model's replicas; it grows with utilisation / (1 - utilisation), as in queueing theory. */
@@ -33,5 +33,5 @@
 }
 
 /** Requests within the horizon that become late through queueing when a model's number of replicas is reduced. */
-export const lateByFewer = (load: ModelLoad, replicaCount: number, fewerCount: number): number =>
-  requestsAhead(load) * Math.max(0, lateShare(queueWaitS(load, fewerCount)) - lateShare(queueWaitS(load, replicaCount)))
+export const countLateWithFewerReplicas = (load: ModelLoad, replicaCount: number, fewerCount: number): number =>
+  requestsInHorizon(load) * Math.max(0, lateShare(queueWaitS(load, fewerCount)) - lateShare(queueWaitS(load, replicaCount)))
--- a/packages/decisions/src/placing/placing.test.ts
+++ b/packages/decisions/src/placing/placing.test.ts
@@ -18,15 +18,15 @@
 })
 
 const placed = (modelName: string, given: Partial<PlacedModel> = {}): PlacedModel => ({
-  modelName, weightsMb: 70_000, requestsPerS: 1, promptTokensPerS: 1_000, replicaCount: 1, isDemandKnown: true, returnsMs: 400, isRunning: false, heldMs: 60_000, idleMs: 10_000, ...given
+  modelName, weightsMb: 70_000, requestsPerS: 1, promptTokensPerS: 1_000, replicaCount: 1, isDemandKnown: true, reloadMs: 400, isRunning: false, residentMs: 60_000, idleMs: 10_000, ...given
 })
 
 const want = (modelName: string, given: Partial<WantView> = {}): WantView => ({
-  modelName, adapterName: '', waitingCount: 1, lateCount: 0, ageMs: 10, weightsMb: 70_000, adapterMb: 66, isAtHand: true, loadMs: 440, ...given
+  modelName, adapterName: '', waitingCount: 1, lateCount: 0, ageMs: 10, weightsMb: 70_000, adapterMb: 66, hasLocalCopy: true, loadMs: 440, ...given
 })
 
 const engine = (given: Partial<EngineView> = {}): EngineView => ({
-  residents: [], adapters: [], adapterKeys: new Set(), freeMb: 140_000, freeAdapterSlots: 8, isBusy: false, mayLoadCold: true, comingModel: '', unansweredLoad: '', wants: [], ...given
+  residents: [], adapters: [], adapterKeys: new Set(), freeMb: 140_000, freeAdapterSlots: 8, isBusy: false, mayLoadCold: true, loadingModel: '', unansweredLoad: '', wants: [], ...given
 })
 
 const orderOf = (view: EngineView): PlannedOrder | undefined => planOrder(view).order
@@ -173,7 +173,7 @@
 
   it('keeps a model that has just been loaded', () => {
     // Two models that evict each other with each request would serve no caller in time.
-    expect(chooseVictims([placed('new', { heldMs: 100 })], 70_000)).to.equal(undefined)
+    expect(chooseVictims([placed('new', { residentMs: 100 })], 70_000)).to.equal(undefined)
   })
 })
 
@@ -221,15 +221,15 @@
   })
 
   it('serves waiting requests before loads ahead of demand', () => {
-    const wants = [want('ahead', { waitingCount: 0, ageMs: 9_000 }), want('awaited', { isAtHand: false })]
+    const wants = [want('ahead', { waitingCount: 0, ageMs: 9_000 }), want('awaited', { hasLocalCopy: false })]
     expect(orderOf(engine({ wants }))?.modelName).to.equal('awaited')
   })
 
   it('serves many waiting requests before a single one, in relation to the load time', () => {
     // Guards against a busy model that waits behind a series of rarely used ones.
-    const wants = [want('rare', { ageMs: 2_000 }), want('busy', { waitingCount: 32, isAtHand: false, loadMs: 6_000 })]
+    const wants = [want('rare', { ageMs: 2_000 }), want('busy', { waitingCount: 32, hasLocalCopy: false, loadMs: 6_000 })]
     expect(orderOf(engine({ wants }))?.modelName).to.equal('busy')
-    const few = [want('rare'), want('busy', { waitingCount: 3, isAtHand: false, loadMs: 6_000, ageMs: 2_000 })]
+    const few = [want('rare'), want('busy', { waitingCount: 3, hasLocalCopy: false, loadMs: 6_000, ageMs: 2_000 })]
     expect(orderOf(engine({ wants: few }))?.modelName).to.equal('rare')
   })
 
@@ -245,12 +245,12 @@
   })
 
   it('waits until it may load from the weight store', () => {
-    expect(planOrder(engine({ mayLoadCold: false, wants: [want('new', { isAtHand: false })] }))).to.deep.equal(NOTHING)
+    expect(planOrder(engine({ mayLoadCold: false, wants: [want('new', { hasLocalCopy: false })] }))).to.deep.equal(NOTHING)
   })
 
   it('repeats a load order that got no answer', () => {
     // Guards against a lost answer that makes waiting requests queue for the weight store again.
-    const view = engine({ mayLoadCold: false, unansweredLoad: 'new', wants: [want('new', { isAtHand: false })] })
+    const view = engine({ mayLoadCold: false, unansweredLoad: 'new', wants: [want('new', { hasLocalCopy: false })] })
     expect(orderOf(view)?.modelName).to.equal('new')
   })
 
@@ -291,7 +291,7 @@
 
   it('drains, during a load, the model that the next load has to evict', () => {
     const running = placed('running', { isRunning: true, requestsPerS: 0.3 })
-    const loading = engine({ residents: [running], freeMb: 0, isBusy: true, comingModel: 'first', wants: [want('first'), want('second', { ageMs: 4_000 })] })
+    const loading = engine({ residents: [running], freeMb: 0, isBusy: true, loadingModel: 'first', wants: [want('first'), want('second', { ageMs: 4_000 })] })
     expect(planOrder(loading)).to.deep.equal({ order: undefined, drainingModel: 'running' })
   })
 
--- a/packages/decisions/src/placing/planOrder.ts
+++ b/packages/decisions/src/placing/planOrder.ts
@@ -22,7 +22,7 @@
   readonly ageMs: number
   readonly weightsMb: number
   readonly adapterMb: number
-  readonly isAtHand: boolean
+  readonly hasLocalCopy: boolean
   /** Time for which loading it occupies the engine. */
   readonly loadMs: number
 }
@@ -40,7 +40,7 @@
   /** A load from the weight store may start now. */
   readonly mayLoadCold: boolean
   /** Model that is being loaded; empty when none is. Its memory no longer counts as free. */
-  readonly comingModel: string
+  readonly loadingModel: string
   /** Model whose load order has had no answer; ordering it again does not count as another load. Empty when none. */
   readonly unansweredLoad: string
   readonly wants: readonly WantView[]
@@ -96,10 +96,10 @@
 const NOTHING: OrderPlan = { order: undefined, drainingModel: '' }
 
 const planModel = (engine: EngineView, want: WantView): OrderPlan => {
-  const mayLoad = want.isAtHand || engine.mayLoadCold || engine.unansweredLoad === want.modelName
+  const mayLoad = want.hasLocalCopy || engine.mayLoadCold || engine.unansweredLoad === want.modelName
   if (!mayLoad) return NOTHING
   if (engine.freeMb >= want.weightsMb) {
-    return { order: { operation: 'load', modelName: want.modelName, adapterName: '', isCold: !want.isAtHand }, drainingModel: '' }
+    return { order: { operation: 'load', modelName: want.modelName, adapterName: '', isCold: !want.hasLocalCopy }, drainingModel: '' }
   }
   const wantedModels = new Set(engine.wants.filter(other => other.waitingCount > 0).map(other => other.modelName))
   const movable = engine.residents.filter(resident => !wantedModels.has(resident.modelName))
@@ -131,7 +131,7 @@
 const planModels = (engine: EngineView, held: ReadonlySet<string>, wants: readonly WantView[]): OrderPlan => {
   let drainingModel = ''
   for (const want of wants) {
-    if (held.has(want.modelName) || want.modelName === engine.comingModel) continue
+    if (held.has(want.modelName) || want.modelName === engine.loadingModel) continue
     const plan = planModel(engine, want)
     if (plan.order) return { order: plan.order, drainingModel }
     if (drainingModel === '') drainingModel = plan.drainingModel
--- a/packages/decisions/src/placing/planWait.ts
+++ b/packages/decisions/src/placing/planWait.ts
@@ -20,7 +20,7 @@
   /** The load ends too late for this request, whose caller is refused at once with the time after which to retry. */
   readonly isHopeless: boolean
   /** Time after which the agent may drop the requested load. It outlasts a refusal, because the refused caller retries. */
-  readonly keptMs: number
+  readonly wantLifetimeMs: number
 }
 
 /**
@@ -31,5 +31,5 @@
  */
 export const planWait = ({ readyInMs, leftMs }: WaitView): WaitPlan => {
   const isHopeless = readyInMs > leftMs * LOAD_SHARE
-  return { isHopeless, keptMs: isHopeless ? readyInMs * 2 : leftMs * WAIT_SHARE }
+  return { isHopeless, wantLifetimeMs: isHopeless ? readyInMs * 2 : leftMs * WAIT_SHARE }
 }
--- a/packages/decisions/src/placing/isLoadNews.ts
+++ b/packages/decisions/src/placing/shouldReportLoad.ts
@@ -25,7 +25,7 @@
  * Load pattern: many engines with rarely used models, and many routers. The load changes with each request, and reporting every
  * change would make up most of the messages, although a router has no choice to make when only one engine has the model.
  */
-export const isLoadNews = ({ load, ageMs, hasReplicaElsewhere }: ReportedEngineLoad, now: EngineLoad): boolean => {
+export const shouldReportLoad = ({ load, ageMs, hasReplicaElsewhere }: ReportedEngineLoad, now: EngineLoad): boolean => {
   const changeMs = Math.abs(estimateBatchDelayMs(now) - estimateBatchDelayMs(load))
   if (changeMs >= (hasReplicaElsewhere ? CHOICE_STEP_MS : QUEUE_STEP_MS)) return true
   return changeMs > 0 && ageMs >= REFRESH_MS
--- a/packages/decisions/src/placing/storePace.test.ts
+++ b/packages/decisions/src/placing/storePace.test.ts
@@ -1,22 +1,22 @@
 import { expect } from 'chai'
 
-import { firstPace, notePace } from './storePace.js'
+import { initialPace, notePace } from './storePace.js'
 
 import type { LoadObservation, StorePace } from './storePace.js'
 
-const ALONE_MS = 6_000
+const FULL_SPEED_MS = 6_000
 
-const observation = (atOnceCount: number, tookMs: number, hasEnded = true): LoadObservation => ({ aloneMs: ALONE_MS, tookMs, atOnceCount, hasEnded })
+const observation = (concurrentCount: number, tookMs: number, hasEnded = true): LoadObservation => ({ fullSpeedMs: FULL_SPEED_MS, tookMs, concurrentCount, hasEnded })
 
 /** Runs loads at the estimated concurrency, one round after the other, on a store that serves `sustainedCount` at full speed. */
 const simulateLoads = (sustainedCount: number, rounds: number): StorePace => {
-  let pace = firstPace
+  let pace = initialPace
   let nowMs = 0
   for (let round = 0; round < rounds; round++) {
-    const atOnceCount = pace.fullSpeedCount
-    const tookMs = ALONE_MS * Math.max(1, atOnceCount / sustainedCount)
+    const concurrentCount = pace.fullSpeedCount
+    const tookMs = FULL_SPEED_MS * Math.max(1, concurrentCount / sustainedCount)
     nowMs += tookMs
-    pace = notePace(pace, observation(atOnceCount, tookMs), nowMs)
+    pace = notePace(pace, observation(concurrentCount, tookMs), nowMs)
   }
   return pace
 }
@@ -32,16 +32,16 @@
   })
 
   it('detects a slowed load before its end', () => {
-    expect(notePace(firstPace, observation(2, ALONE_MS * 1.9, false), 0).fullSpeedCount).to.equal(1)
+    expect(notePace(initialPace, observation(2, FULL_SPEED_MS * 1.9, false), 0).fullSpeedCount).to.equal(1)
   })
 
   it('does not rise because of loads that ran alone', () => {
-    expect(notePace(firstPace, observation(1, ALONE_MS), 0)).to.equal(firstPace)
+    expect(notePace(initialPace, observation(1, FULL_SPEED_MS), 0)).to.equal(initialPace)
   })
 
   it('stays low for some time after a reduction', () => {
-    const low = notePace(firstPace, observation(2, ALONE_MS * 2), 0)
-    expect(notePace(low, observation(1, ALONE_MS), 6_000).fullSpeedCount).to.equal(1)
-    expect(notePace(low, observation(1, ALONE_MS), 30_000).fullSpeedCount).to.equal(2)
+    const low = notePace(initialPace, observation(2, FULL_SPEED_MS * 2), 0)
+    expect(notePace(low, observation(1, FULL_SPEED_MS), 6_000).fullSpeedCount).to.equal(1)
+    expect(notePace(low, observation(1, FULL_SPEED_MS), 30_000).fullSpeedCount).to.equal(2)
   })
 })
--- a/packages/decisions/src/placing/storePace.ts
+++ b/packages/decisions/src/placing/storePace.ts
@@ -9,10 +9,10 @@
 /** Progress of one load from the weight store. */
 export interface LoadObservation {
   /** Time that the load takes without concurrent loads. */
-  readonly aloneMs: number
+  readonly fullSpeedMs: number
   readonly tookMs: number
   /** Loads that were running when this one started, including itself. */
-  readonly atOnceCount: number
+  readonly concurrentCount: number
   readonly hasEnded: boolean
 }
 
@@ -26,7 +26,7 @@
 const RAISE_DELAY_MS = 20_000
 
 /** Initial estimate for a store without observations. */
-export const firstPace: StorePace = { fullSpeedCount: INITIAL_COUNT, loweredAtMs: -Infinity }
+export const initialPace: StorePace = { fullSpeedCount: INITIAL_COUNT, loweredAtMs: -Infinity }
 
 /**
  * Updates the estimate with one observed load.
@@ -36,11 +36,11 @@
  * The platform does not state how many loads run at full speed, so the limit is derived from how long loads take.
  */
 export const notePace = (pace: StorePace, load: LoadObservation, nowMs: number): StorePace => {
-  const isSlowed = load.tookMs > load.aloneMs * SLOWDOWN_THRESHOLD
+  const isSlowed = load.tookMs > load.fullSpeedMs * SLOWDOWN_THRESHOLD
   if (isSlowed) {
-    const sustainedCount = Math.max(1, Math.round(load.atOnceCount * load.aloneMs / load.tookMs))
+    const sustainedCount = Math.max(1, Math.round(load.concurrentCount * load.fullSpeedMs / load.tookMs))
     return sustainedCount < pace.fullSpeedCount ? { fullSpeedCount: sustainedCount, loweredAtMs: nowMs } : pace
   }
-  const mayGrow = load.hasEnded && load.atOnceCount >= pace.fullSpeedCount && nowMs - pace.loweredAtMs > RAISE_DELAY_MS
-  return mayGrow ? { ...pace, fullSpeedCount: load.atOnceCount + 1 } : pace
+  const mayGrow = load.hasEnded && load.concurrentCount >= pace.fullSpeedCount && nowMs - pace.loweredAtMs > RAISE_DELAY_MS
+  return mayGrow ? { ...pace, fullSpeedCount: load.concurrentCount + 1 } : pace
 }
--- a/packages/decisions/src/placing/types.ts
+++ b/packages/decisions/src/placing/types.ts
@@ -60,11 +60,11 @@
   /** False after a start, until routers have reported their demand. */
   readonly isDemandKnown: boolean
   /** Time to load the model again from the copy that stays on the server. */
-  readonly returnsMs: number
+  readonly reloadMs: number
   /** Requests for the model are running, so it can be unloaded only after they end. */
   readonly isRunning: boolean
   /** Time since its load ended. */
-  readonly heldMs: number
+  readonly residentMs: number
   /** Time since a router last sent a request for the model to this server or asked for it to be loaded. */
   readonly idleMs: number
 }
--- a/packages/decisions/src/simulation/batch.ts
+++ b/packages/decisions/src/simulation/batch.ts
@@ -1,4 +1,4 @@
-import { guess, initialModelEstimates, observe, observeWait, upperBound } from '../estimates/observe.js'
+import { initialEstimate, initialModelEstimates, observe, observeWait, upperBound } from '../estimates/observe.js'
 
 import { SimulationConstants } from './constants.js'
 
@@ -67,7 +67,7 @@
 export const createBatch = ({ index, events, scenario, onServed }: BatchEnvironment): Batch => {
   const running = new Map<string, Running>()
   let prefixes: readonly string[] = []
-  let interval: Estimate = guess(SimulationConstants.tokenIntervalMs)
+  let interval: Estimate = initialEstimate(SimulationConstants.tokenIntervalMs)
   let tokenAtMs = 0
   /** Ratio of generated to expected tokens. */
   let lengthRatio: Estimate = { mean: 1, deviation: 0, observedCount: 0 }
--- a/packages/decisions/src/simulation/simulateStoreRush.test.ts
+++ b/packages/decisions/src/simulation/simulateStoreRush.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 
-import { backOffByNeed, backOffEqually } from '../loading/pace.js'
+import { backOffByNeed, backOffEqually } from '../loading/backOff.js'
 import { shiftStart, simulateStoreRush } from './simulateStoreRush.js'
 
 describe('burst of loads at the weight store', () => {
--- a/packages/decisions/src/simulation/simulateStoreRush.ts
+++ b/packages/decisions/src/simulation/simulateStoreRush.ts
@@ -1,6 +1,6 @@
 import { makeRandom } from './makeRandom.js'
 
-import type { ChooseLoadBackoff, LoadPaceView } from '../loading/pace.js'
+import type { ChooseLoadBackoff, LoadPaceView } from '../loading/backOff.js'
 
 /** The load that one agent needs from the weight store. */
 export interface RushLoad {
@@ -10,7 +10,7 @@
 }
 
 /** How agents access the weight store. */
-export interface RushWay {
+export interface RushStrategy {
   /** Wait before the first attempt; none when omitted. */
   readonly firstWait?: ChooseLoadBackoff
   /** Wait after a refusal. */
@@ -55,16 +55,16 @@
  * Simulates agents that all need the weight store at the same moment. The store refuses loads above its rate limit and divides
  * its bandwidth once more than four loads run.
  */
-export const simulateStoreRush = (loads: readonly RushLoad[], way: RushWay, seed = 1): RushMeasures => {
+export const simulateStoreRush = (loads: readonly RushLoad[], strategy: RushStrategy, seed = 1): RushMeasures => {
   const random = makeRandom(seed)
   const states: readonly RushState[] = loads.map(load => ({ load, askAtMs: 0, refusedCount: 0, isRunning: false, leftMs: load.loadMs }))
-  for (const state of states) state.askAtMs = way.firstWait?.(viewOf(state, 0), random) ?? 0
+  for (const state of states) state.askAtMs = strategy.firstWait?.(viewOf(state, 0), random) ?? 0
   let tokens: number = LOADS_PER_SECOND
   let refusedCount = 0
   let nowMs = 0
 
   const requestLoad = (state: RushState, runningCount: number): void => {
-    if (runningCount >= (way.centralLimit ?? Infinity)) return
+    if (runningCount >= (strategy.centralLimit ?? Infinity)) return
     if (tokens >= 1) {
       tokens -= 1
       state.isRunning = true
@@ -72,7 +72,7 @@
     }
     refusedCount += 1
     state.refusedCount += 1
-    state.askAtMs = nowMs + way.backOff(viewOf(state, nowMs), random)
+    state.askAtMs = nowMs + strategy.backOff(viewOf(state, nowMs), random)
   }
 
   const step = (): void => {
--- a/packages/fleet/src/demand/decayDemand.ts
+++ b/packages/fleet/src/demand/decayDemand.ts
@@ -3,7 +3,7 @@
  * of a second does not count as its end. Routers and agents must decay alike: a router reports a model only when it has new
  * requests.
  */
-export const DEMAND_MEMORY_MS = 4_000
+export const DEMAND_DECAY_MS = 4_000
 
 /** Fraction of a rate that is left after a time without requests. */
-export const decayDemand = (elapsedMs: number): number => Math.exp(-Math.max(0, elapsedMs) / DEMAND_MEMORY_MS)
+export const decayDemand = (elapsedMs: number): number => Math.exp(-Math.max(0, elapsedMs) / DEMAND_DECAY_MS)
--- a/packages/fleet/src/feeds/constants.ts
+++ b/packages/fleet/src/feeds/constants.ts
@@ -11,4 +11,4 @@
 export const MAX_RETRY_MS = 1_000
 
 /** Servers whose list entries expired during an outage are listed again within about 2 s; one missing for longer is gone. */
-export const REAPPEAR_MS = 2_500
+export const RELIST_GRACE_MS = 2_500
--- a/packages/fleet/src/feeds/createFeedFollower.test.ts
+++ b/packages/fleet/src/feeds/createFeedFollower.test.ts
@@ -95,7 +95,7 @@
     const { follower, taken, pass } = setUp([page(5), NO_ANSWER, page(6, record('config', 5))])
     await pass(5_000)
     expect(taken).to.deep.equal([])
-    follower.hurry()
+    follower.readNow()
     await pass(500)
     expect(taken).to.deep.equal(['config@5'])
   })
--- a/packages/fleet/src/feeds/createFeedFollower.ts
+++ b/packages/fleet/src/feeds/createFeedFollower.ts
@@ -30,9 +30,9 @@
   /** Applies records that a peer has read. */
   readonly offer: (records: readonly FeedRecord[]) => void
   /** Applies a range that a peer has read. Returns true when own reads continue after it because no record in between is missing. */
-  readonly offerStretch: (stretch: FeedRange) => boolean
+  readonly offerRange: (stretch: FeedRange) => boolean
   /** Abandons the read that is waiting and reads again at once. */
-  readonly hurry: () => void
+  readonly readNow: () => void
   readonly stop: () => void
 }
 
@@ -89,7 +89,7 @@
     options.noteRead?.({ stretch: { fromOffset: fromOffset ?? 0, toOffset: page.nextOffset, records: page.records }, isWhole, beganMs })
   }
 
-  const offerStretch = ({ fromOffset, toOffset, records }: FeedRange): boolean => {
+  const offerRange = ({ fromOffset, toOffset, records }: FeedRange): boolean => {
     accept(records)
     if (nextOffset === undefined || fromOffset > nextOffset) return false
     nextOffset = Math.max(nextOffset, toOffset)
@@ -129,8 +129,8 @@
   runInBackground(options.events, `feeds.follow ${feed.name}`, follow())
   return {
     offer: accept,
-    offerStretch,
-    hurry: () => { abandonRead(Left(makeFault('timeout', 'feeds.read', feed.name, 'read again at once'))) },
+    offerRange,
+    readNow: () => { abandonRead(Left(makeFault('timeout', 'feeds.read', feed.name, 'read again at once'))) },
     stop: () => { stopping.abort() }
   }
 }
--- a/packages/gateway/src/demand/createDemandMeter.ts
+++ b/packages/gateway/src/demand/createDemandMeter.ts
@@ -1,4 +1,4 @@
-import { DEMAND_MEMORY_MS, decayDemand } from '@figmount/fleet'
+import { DEMAND_DECAY_MS, decayDemand } from '@figmount/fleet'
 
 import type { TimerService } from '@figmount/base'
 import type { ModelDemand } from '@figmount/fleet'
@@ -59,19 +59,19 @@
     },
     requestsPerS: modelName => {
       const meter = meters.get(modelName)
-      return meter ? decayed(meter, timers.nowMs()).requests / DEMAND_MEMORY_MS * MS_PER_S : 0
+      return meter ? decayed(meter, timers.nowMs()).requests / DEMAND_DECAY_MS * MS_PER_S : 0
     },
     read: () => {
       const nowMs = timers.nowMs()
       const metered: MeteredModel[] = []
       for (const [modelName, stored] of [...meters]) {
         const meter = decayed(stored, nowMs)
-        const requestsPerS = meter.requests / DEMAND_MEMORY_MS * MS_PER_S
+        const requestsPerS = meter.requests / DEMAND_DECAY_MS * MS_PER_S
         if (requestsPerS < MIN_REQUESTS_PER_S) {
           meters.delete(modelName)
           continue
         }
-        const promptTokensPerS = meter.promptTokens / DEMAND_MEMORY_MS * MS_PER_S
+        const promptTokensPerS = meter.promptTokens / DEMAND_DECAY_MS * MS_PER_S
         const demand = { modelName, requestsPerS, promptTokensPerS, idleMs: nowMs - meter.lastMs, adapterNames: [...meter.adapterNames] }
         metered.push({ demand, isNew: meter.isNew })
         meters.set(modelName, { ...meter, adapterNames: new Set(), isNew: false })
--- a/packages/gateway/src/directory/createMissingEntries.ts
+++ b/packages/gateway/src/directory/createMissingEntries.ts
@@ -1,4 +1,4 @@
-import { REAPPEAR_MS } from '@figmount/fleet'
+import { RELIST_GRACE_MS } from '@figmount/fleet'
 
 import type { TimerService } from '@figmount/base'
 
@@ -28,7 +28,7 @@
   let isStoreDown = false
   let settlesAtMs = -Infinity
 
-  const settlingMs = (): number => isStoreDown ? REAPPEAR_MS : Math.max(0, settlesAtMs - timers.nowMs())
+  const settlingMs = (): number => isStoreDown ? RELIST_GRACE_MS : Math.max(0, settlesAtMs - timers.nowMs())
 
   const settle = (): void => {
     if (settlingMs() > 0) return
@@ -46,7 +46,7 @@
     noteOutage: () => { isStoreDown = true },
     noteRegained: () => {
       isStoreDown = false
-      noteSettling(REAPPEAR_MS)
+      noteSettling(RELIST_GRACE_MS)
     },
     noteSettling,
     settlingMs,
--- a/packages/gateway/src/limits/quotaFaults.test.ts
+++ b/packages/gateway/src/limits/quotaFaults.test.ts
@@ -65,7 +65,7 @@
       const handle = (): void => {
         if (agents.get(address)?.life !== life) return
         if (message.type === 'limiterChosen') agent.limiters.choose(`r${router}`, message)
-        if (message.type === 'unitsReturned') agent.limiters.giveBack(`r${router}`, message)
+        if (message.type === 'unitsReturned') agent.limiters.returnUnits(`r${router}`, message)
         if (message.type !== 'unitsAsked') return
         const answer = agent.limiters.ask(`r${router}`, message)
         timers.after(linkDelayMs(), () => { if (links[router]?.has(address)) routers[router]?.takeAnswer(address, answer) })
--- a/packages/gateway/src/placing/createColdLoads.ts
+++ b/packages/gateway/src/placing/createColdLoads.ts
@@ -1,5 +1,5 @@
-import { firstPace, notePace } from '@figmount/decisions'
-import { hasCopy } from '@figmount/fleet'
+import { initialPace, notePace } from '@figmount/decisions'
+import { hasLocalCopy } from '@figmount/fleet'
 
 import type { TimerService } from '@figmount/base'
 import type { StorePace } from '@figmount/decisions'
@@ -12,7 +12,7 @@
   readonly modelName: string
   readonly beganMs: number
   /** Loads in progress when it started, including itself. */
-  readonly atOnceCount: number
+  readonly concurrentCount: number
 }
 
 /** Loads from the weight store over all engines, as one router sees them. */
@@ -31,35 +31,35 @@
 const isPending = (state: AgentState): boolean => {
   if (state.isLoadingCold) return true
   for (const modelName of state.queuedModels) {
-    if (!hasCopy(state, modelName)) return true
+    if (!hasLocalCopy(state, modelName)) return true
   }
   return false
 }
 
-/** Tracks the loads from the weight store; `aloneMsOf` is the time that a model's load takes without others. */
-export const createColdLoads = (timers: TimerService, aloneMsOf: (modelName: string) => number | undefined): ColdLoads => {
+/** Tracks the loads from the weight store; `fullSpeedMsOf` is the time that a model's load takes without others. */
+export const createColdLoads = (timers: TimerService, fullSpeedMsOf: (modelName: string) => number | undefined): ColdLoads => {
   const pending = new Set<string>()
   const requestedMs = new Map<string, number>()
   const running = new Map<string, RunningLoad>()
-  let pace: StorePace = firstPace
+  let pace: StorePace = initialPace
 
   const updatePace = (load: RunningLoad, hasEnded: boolean): void => {
     const nowMs = timers.nowMs()
-    const aloneMs = aloneMsOf(load.modelName)
-    if (aloneMs === undefined) return
-    pace = notePace(pace, { aloneMs, tookMs: nowMs - load.beganMs, atOnceCount: load.atOnceCount, hasEnded }, nowMs)
+    const fullSpeedMs = fullSpeedMsOf(load.modelName)
+    if (fullSpeedMs === undefined) return
+    pace = notePace(pace, { fullSpeedMs, tookMs: nowMs - load.beganMs, concurrentCount: load.concurrentCount, hasEnded }, nowMs)
   }
 
   // Guards against a load that is mistaken for proof of spare capacity: the store slows a load by those in progress when it started, so
   // the first of two takes no longer than alone. Attributed to both, its time would make routers start ever more loads at a store that
   // carries one. Agents' messages may arrive out of order, so an older load may be reported after a newer one.
   const noteBegun = (address: string, modelName: string, beganMs: number): void => {
-    let atOnceCount = 1
+    let concurrentCount = 1
     for (const [other, load] of running) {
-      if (load.beganMs <= beganMs) atOnceCount += 1
-      if (load.beganMs >= beganMs) running.set(other, { ...load, atOnceCount: load.atOnceCount + 1 })
+      if (load.beganMs <= beganMs) concurrentCount += 1
+      if (load.beganMs >= beganMs) running.set(other, { ...load, concurrentCount: load.concurrentCount + 1 })
     }
-    running.set(address, { modelName, beganMs, atOnceCount })
+    running.set(address, { modelName, beganMs, concurrentCount })
   }
 
   const count = (): number => {
--- a/packages/gateway/src/placing/createOccupancyMeter.ts
+++ b/packages/gateway/src/placing/createOccupancyMeter.ts
@@ -1,4 +1,4 @@
-import { guess, observe } from '@figmount/decisions'
+import { initialEstimate, observe } from '@figmount/decisions'
 
 /** How long requests occupy their slots on engines, as one router measures it. */
 export interface OccupancyMeter {
@@ -10,7 +10,7 @@
 
 /** Creates the meter of one router. */
 export const createOccupancyMeter = (): OccupancyMeter => {
-  let occupied = guess(0)
+  let occupied = initialEstimate(0)
   return {
     note: occupiedMs => { occupied = observe(occupied, occupiedMs) },
     meanMs: () => occupied.mean
--- a/packages/gateway/src/placing/createQueueScaler.ts
+++ b/packages/gateway/src/placing/createQueueScaler.ts
@@ -1,4 +1,4 @@
-import { lateShare, requestsAhead } from '@figmount/decisions'
+import { lateShare, requestsInHorizon } from '@figmount/decisions'
 import { findEngine } from '@figmount/fleet'
 
 import { requestReplica } from './requestReplica.js'
@@ -44,7 +44,7 @@
       const model = engine?.models.find(candidate => candidate.name === modelName)
       if (!engine || !model) return
       requestedMs.set(modelName, timers.nowMs())
-      const expectedCount = requestsAhead({ requestsPerS: context.demand.requestsPerS(modelName) * context.routerCount() })
+      const expectedCount = requestsInHorizon({ requestsPerS: context.demand.requestsPerS(modelName) * context.routerCount() })
       requestReplica(context, { spec: engine, model, servers, lateCount: expectedCount * lateShare(queueMs / MS_PER_S), reason: 'queue', timeLeftMs: QUEUE_WANT_MS })
     }
   }
--- a/packages/gateway/src/placing/viewServers.ts
+++ b/packages/gateway/src/placing/viewServers.ts
@@ -73,9 +73,9 @@
 const queuedLoad = (spec: EngineSpec, state: AgentState, modelName: string): QueuedLoad | undefined => {
   const model = spec.models.find(candidate => candidate.name === modelName)
   if (!model) return undefined
-  if (state.inMemory.includes(modelName)) return { isAtHand: true, loadMs: model.memoryLoadMs }
-  if (state.onDisk.includes(modelName)) return { isAtHand: true, loadMs: model.diskLoadMs }
-  return { isAtHand: false, loadMs: model.coldLoadMs }
+  if (state.inMemory.includes(modelName)) return { hasLocalCopy: true, loadMs: model.memoryLoadMs }
+  if (state.onDisk.includes(modelName)) return { hasLocalCopy: true, loadMs: model.diskLoadMs }
+  return { hasLocalCopy: false, loadMs: model.coldLoadMs }
 }
 
 /** Time until an agent can start to load a model; if the model is queued there already, time until it is loaded. */
@@ -90,8 +90,8 @@
     if (load) queued.push(load)
     if (name === modelName) break
   }
-  const isAtHand = queuedLoad(spec, state, modelName)?.isAtHand ?? false
-  return estimateBusyMs({ loadingLeftMs: loadingLeft, coldWaitMs: coldWaitLeftMs(server, nowMs), roomMs: state.roomMs, queued }, isAtHand)
+  const hasLocalCopy = queuedLoad(spec, state, modelName)?.hasLocalCopy ?? false
+  return estimateBusyMs({ loadingLeftMs: loadingLeft, coldWaitMs: coldWaitLeftMs(server, nowMs), roomMs: state.roomMs, queued }, hasLocalCopy)
 }
 
 interface LoaderInputs {
--- a/packages/gateway/src/requests/awaitAdapter.ts
+++ b/packages/gateway/src/requests/awaitAdapter.ts
@@ -29,7 +29,7 @@
   const agent = context.agents.find(server.entry.address)
   if (!agent) return { type: 'missed' }
   const readyAtMs = timers.nowMs() + expectedMs
-  const { isHopeless, keptMs } = planWait({ readyInMs: expectedMs, leftMs: bounds.callerLeavesMs() - timers.nowMs() })
+  const { isHopeless, wantLifetimeMs } = planWait({ readyInMs: expectedMs, leftMs: bounds.callerLeavesMs() - timers.nowMs() })
   context.events.emit(GatewayEvent.modelAwaited, {
     requestKey: requestId,
     model: modelName,
@@ -38,7 +38,7 @@
     waitMs: Math.round(expectedMs),
     reason: isHopeless ? 'too late for this request' : 'waits'
   })
-  const timeLeftMs = isHopeless ? keptMs : Math.min(keptMs, expectedMs + ADAPTER_WAIT_MS)
+  const timeLeftMs = isHopeless ? wantLifetimeMs : Math.min(wantLifetimeMs, expectedMs + ADAPTER_WAIT_MS)
   const want = agent.want({ serverId: server.entry.serverId, modelName, adapterName, waitingCount: 1, lateCount: 0, timeLeftMs })
   if (isHopeless) return { type: 'late', reason: 'the adapter comes too late', retryAfterMs: expectedMs }
   const stopLimiting = limitWait({ stop, timers, lastSendMs: bounds.lastSendMs, readyAtMs, giveUp: () => want.drop(STOPPING_REASON) })
--- a/packages/gateway/src/requests/awaitModel.ts
+++ b/packages/gateway/src/requests/awaitModel.ts
@@ -52,7 +52,7 @@
     return { type: 'late', reason: 'the weight store is busy', retryAfterMs: readyInMs + model.coldLoadMs }
   }
   if (isNewColdLoad) context.coldLoads.noteRequested(address)
-  const { isHopeless, keptMs } = planWait({ readyInMs, leftMs: bounds.callerLeavesMs() - context.timers.nowMs() })
+  const { isHopeless, wantLifetimeMs } = planWait({ readyInMs, leftMs: bounds.callerLeavesMs() - context.timers.nowMs() })
   context.events.emit(GatewayEvent.modelAwaited, {
     requestKey: requestId,
     model: modelName,
@@ -62,7 +62,7 @@
     count: context.coldLoads.count(),
     reason: isHopeless ? 'too late for this request' : 'waits'
   })
-  const want = agent.want({ serverId, modelName, adapterName: '', waitingCount: 1, lateCount: 0, unmetForMs: Math.round(unmetForMs), timeLeftMs: keptMs })
+  const want = agent.want({ serverId, modelName, adapterName: '', waitingCount: 1, lateCount: 0, unmetForMs: Math.round(unmetForMs), timeLeftMs: wantLifetimeMs })
   if (isHopeless) return { type: 'late', reason: 'the model comes too late', retryAfterMs: readyInMs }
   const stopWatching = watchLoadsElsewhere(context, request, loader, want)
   const rechoose = (): Loader | undefined =>
--- a/packages/gateway/src/requests/chooseServer.ts
+++ b/packages/gateway/src/requests/chooseServer.ts
@@ -1,4 +1,4 @@
-import { estimateFirstEventMs, estimatePlaceWaitMs, rankServers } from '@figmount/decisions'
+import { estimateFirstEventMs, estimateSlotWaitMs, rankServers } from '@figmount/decisions'
 
 import { viewHolders } from '../placing/viewServers.js'
 
@@ -26,8 +26,8 @@
   if (!best || !server) return undefined
   const idle = { ...best, pendingTokens: 0, startingCount: 0, runningCount: 0 }
   context.queueScaler.note(context, request, servers, estimateFirstEventMs(ranked, best) - estimateFirstEventMs(ranked, idle))
-  const slotWaitMs = estimatePlaceWaitMs({
-    placeCount: server.entry.slots,
+  const slotWaitMs = estimateSlotWaitMs({
+    slotCount: server.entry.slots,
     runningCount: best.runningCount,
     startingCount: best.startingCount + server.ownStartingCount,
     occupancyMs: context.occupancy.meanMs()
--- a/packages/gateway/src/router/followFeeds.ts
+++ b/packages/gateway/src/router/followFeeds.ts
@@ -111,7 +111,7 @@
       // Guards against a network cut that leaves the read of the configuration waiting on a dead connection: it would wait for seconds while
       // requests are served by an older configuration. A router that receives no reads from others reads the list itself, which shows
       // the end of the cut; one that receives them also receives configurations.
-      deployments.hurry()
+      deployments.readNow()
       regained(store.serverFeed.name, outageMs)
     }
   })
@@ -124,7 +124,7 @@
     },
     takeListRead: (read, mayBeStale) => {
       directory.missingEntries.noteSettling(read.settlingMs)
-      if (!servers.offerStretch(read)) return
+      if (!servers.offerRange(read)) return
       listChanges.take(read.records)
       if (!mayBeStale) readSchedule.note(timers.nowMs() - read.ageMs)
     },
--- a/packages/peers/src/links/types.ts
+++ b/packages/peers/src/links/types.ts
@@ -21,7 +21,7 @@
   /** Bytes accepted by `send` that the operating system has not taken yet. */
   readonly bufferedBytes: () => number
   /** Monotonic time of the last message from the peer. */
-  readonly lastHeardMs: () => number
+  readonly lastReceivedMs: () => number
 }
 
 /** Settings shared by the links of one process. */
--- a/packages/peers/src/links/wrapSocket.ts
+++ b/packages/peers/src/links/wrapSocket.ts
@@ -94,7 +94,7 @@
     close: finish,
     isOpen: () => isOpen,
     bufferedBytes: () => socket.bufferedAmount,
-    lastHeardMs: () => lastHeardMs
+    lastReceivedMs: () => lastHeardMs
   }
 }
 
--- a/packages/peers/src/messages/types.ts
+++ b/packages/peers/src/messages/types.ts
@@ -78,7 +78,7 @@
 }
 
 /** Messages from a router to an agent. */
-export type ToAgent =
+export type RouterToAgentMessage =
   | { readonly type: 'hello', readonly instance: InstanceName, readonly incarnation: Incarnation, readonly role: 'router' | 'agent' }
   | { readonly type: 'heartbeat', readonly sentAtMs: number }
   | { readonly type: 'start', readonly attemptId: AttemptId, readonly request: RunRequest, readonly permit?: Permit }
@@ -97,7 +97,7 @@
   | { readonly type: 'suspect', readonly fingerprints: readonly string[], readonly deathId: string, readonly instance: InstanceName }
 
 /** Messages from an agent to a router. */
-export type FromAgent =
+export type AgentToRouterMessage =
   | { readonly type: 'welcome', readonly instance: InstanceName, readonly incarnation: Incarnation, readonly dataCentre: DataCentre, readonly report: AgentReport }
   /** Has no report if nothing has changed since the last one on this link. */
   | { readonly type: 'heartbeat.ack', readonly sentAtMs: number, readonly report?: AgentReport }
@@ -156,7 +156,7 @@
 }
 
 /** Messages between routers. */
-export type BetweenRouters =
+export type RouterToRouterMessage =
   | { readonly type: 'hello', readonly instance: InstanceName, readonly incarnation: Incarnation, readonly role: 'router' }
   | { readonly type: 'heartbeat', readonly sentAtMs: number, readonly digest: RouterDigest }
   | { readonly type: 'heartbeat.ack', readonly sentAtMs: number, readonly digest: RouterDigest }
--- a/packages/peers/src/reports/createReportThinner.ts
+++ b/packages/peers/src/reports/createDeltaReporter.ts
@@ -25,7 +25,7 @@
  * models that changed, and undefined means that nothing changed. A link delivers in order or fails, so both ends always have
  * the same base for the next report.
  */
-export const createReportThinner = (): ((report: AgentReport) => AgentReport | undefined) => {
+export const createDeltaReporter = (): ((report: AgentReport) => AgentReport | undefined) => {
   const sentModels = new Map<ModelId, ModelReport>()
   let sentHead: AgentReport | undefined
 
--- a/packages/peers/src/reports/reports.test.ts
+++ b/packages/peers/src/reports/reports.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 
-import { createReportThinner } from './createReportThinner.js'
+import { createDeltaReporter } from './createDeltaReporter.js'
 import { mergeReport } from './mergeReport.js'
 
 import type { LogOffset, ModelId } from '@figmount/base'
@@ -25,7 +25,7 @@
 describe('partial reports', () => {
   it('give the receiver the same models as the sender', () => {
     fc.assert(fc.property(modelSets, sets => {
-      const thin = createReportThinner()
+      const thin = createDeltaReporter()
       let known: AgentReport | undefined
       for (const [sequence, set] of sets.entries()) {
         const whole = reportOf(sequence, set.map(([index, state, runningCount]) => modelOf(index, state, runningCount)))
@@ -37,7 +37,7 @@
   })
 
   it('are skipped when nothing changed, and contain one model when one changed', () => {
-    const thin = createReportThinner()
+    const thin = createDeltaReporter()
     const models = Array.from({ length: 20 }, (_, index) => modelOf(index, 'cold', 0))
     expect(thin(reportOf(0, models))?.models).to.have.length(20)
     expect(thin({ ...reportOf(1, models), tokenIntervalMs: 10.5 })).to.equal(undefined)
--- a/packages/router/src/answers/reduceAnswer.ts
+++ b/packages/router/src/answers/reduceAnswer.ts
@@ -1,9 +1,9 @@
 import type { AttemptId } from '@figmount/base'
-import type { FromAgent } from '@figmount/peers'
+import type { AgentToRouterMessage } from '@figmount/peers'
 import type { AnswerState, AnswerStep } from './types.js'
 
 /** A frame of an attempt's answer, numbered by the agent. */
-export type AnswerFrameMessage = Extract<FromAgent, { readonly type: 'tokens' | 'final' }>
+export type AnswerFrameMessage = Extract<AgentToRouterMessage, { readonly type: 'tokens' | 'final' }>
 
 interface Reduction {
   readonly state: AnswerState
--- a/packages/router/src/bench/measureLinks.ts
+++ b/packages/router/src/bench/measureLinks.ts
@@ -33,7 +33,7 @@
 })
 
 const measure = async (name: string, hasDeltaReports: boolean, busy: boolean): Promise<void> => {
-  const plan: FakeAgentPlan = { agentCount: AGENT_COUNT, modelCount: MODEL_COUNT, thin: hasDeltaReports, busy, tokensPerFrame: 1 }
+  const plan: FakeAgentPlan = { agentCount: AGENT_COUNT, modelCount: MODEL_COUNT, hasDeltaReports, busy, tokensPerFrame: 1 }
   const child = fork(new URL(import.meta.url).pathname, [JSON.stringify(plan)], { execArgv: ['--import', 'tsx'] })
   const addresses = await new Promise<readonly string[]>(resolve => child.once('message', message => resolve(message as string[])))
   const links = await openBenchLinks(addresses)
--- a/packages/router/src/bench/measurePath.ts
+++ b/packages/router/src/bench/measurePath.ts
@@ -68,7 +68,7 @@
 }
 
 const measure = async (tokenCount: number, tokensPerFrame: number): Promise<void> => {
-  const plan: FakeAgentPlan = { agentCount: 1, modelCount: 1, thin: true, busy: false, tokensPerFrame }
+  const plan: FakeAgentPlan = { agentCount: 1, modelCount: 1, hasDeltaReports: true, busy: false, tokensPerFrame }
   const child = fork(new URL(import.meta.url).pathname, [JSON.stringify(plan)], { execArgv: ['--import', 'tsx'] })
   const [agentAddress = ''] = await nextMessage<readonly string[]>(child)
   const router = await startBenchRouter(agentAddress)
--- a/packages/router/src/bench/measureStorm.ts
+++ b/packages/router/src/bench/measureStorm.ts
@@ -50,7 +50,7 @@
 }
 
 const runChild = async (): Promise<void> => {
-  const agents = await serveFakeAgents({ agentCount: 1, modelCount: 1, thin: true, busy: false, tokensPerFrame: 1, isHolding: true })
+  const agents = await serveFakeAgents({ agentCount: 1, modelCount: 1, hasDeltaReports: true, busy: false, tokensPerFrame: 1, isHolding: true })
   process.on('message', message => {
     runBurst(message as BurstLoad).then(refused => process.send?.(refused)).catch((error: Error) => { process.stderr.write(`${error.message}\n`) })
   })
--- a/packages/router/src/bench/serveFakeAgents.ts
+++ b/packages/router/src/bench/serveFakeAgents.ts
@@ -1,17 +1,17 @@
 import { createEventLog, createTimerService, serveRpc } from '@figmount/base'
-import { acceptLinks, createReportThinner, NO_OFFSET } from '@figmount/peers'
+import { acceptLinks, createDeltaReporter, NO_OFFSET } from '@figmount/peers'
 import { FinishReason } from '@figmount/schema'
 
 import type { Socket } from 'node:net'
 import type { AttemptId, DataCentre, Incarnation, InstanceName, LogOffset, ModelId } from '@figmount/base'
-import type { AgentReport, FromAgent, Link, ToAgent } from '@figmount/peers'
+import type { AgentReport, AgentToRouterMessage, Link, RouterToAgentMessage } from '@figmount/peers'
 
 /** Behaviour of the agents in a measurement. */
 export interface FakeAgentPlan {
   readonly agentCount: number
   readonly modelCount: number
   /** True to omit unchanged fields from reports. */
-  readonly thin: boolean
+  readonly hasDeltaReports: boolean
   /** True to change one model's counts and the queue with every report. */
   readonly busy: boolean
   readonly tokensPerFrame: number
@@ -53,7 +53,7 @@
   }))
 })
 
-const sendAnswer = (link: Link<FromAgent, ToAgent>, attemptId: AttemptId, tokenCount: number, tokensPerFrame: number): void => {
+const sendAnswer = (link: Link<AgentToRouterMessage, RouterToAgentMessage>, attemptId: AttemptId, tokenCount: number, tokensPerFrame: number): void => {
   let frame = 0
   for (let first = 0; first < tokenCount; first += tokensPerFrame) {
     const count = Math.min(tokensPerFrame, tokenCount - first)
@@ -63,8 +63,8 @@
   link.send({ type: 'final', attemptId, frame, tokenCount, finishReason: FinishReason.STOP, version: 'v1' })
 }
 
-const runAgent = (instance: InstanceName, plan: FakeAgentPlan) => async (link: Link<FromAgent, ToAgent>): Promise<void> => {
-  const thinReport = createReportThinner()
+const runAgent = (instance: InstanceName, plan: FakeAgentPlan) => async (link: Link<AgentToRouterMessage, RouterToAgentMessage>): Promise<void> => {
+  const thinReport = createDeltaReporter()
   let sequence = 0
   for await (const message of link.received) {
     if (message.type === 'hello') {
@@ -74,7 +74,7 @@
     }
     if (message.type === 'heartbeat') {
       const fullReport = reportAt(sequence++, plan)
-      const report = plan.thin ? thinReport(fullReport) : fullReport
+      const report = plan.hasDeltaReports ? thinReport(fullReport) : fullReport
       link.send({ type: 'heartbeat.ack', sentAtMs: message.sentAtMs, ...(report ? { report } : {}) })
     }
     if (message.type === 'start' && !plan.isHolding) sendAnswer(link, message.attemptId, message.request.maxTokens, plan.tokensPerFrame)
@@ -89,7 +89,7 @@
     const events = createEventLog({ instance, role: 'agent', timers })
     const server = await serveRpc({ host: '127.0.0.1', port: 0, routes: () => {} })
     server.server.on('connection', socket => { sockets.push(socket) })
-    acceptLinks<FromAgent, ToAgent>(server.server, {
+    acceptLinks<AgentToRouterMessage, RouterToAgentMessage>(server.server, {
       instance, sharedKey: BENCH_KEY, timers, events, offset: () => NO_OFFSET, onPeerOffset: () => {}
     }, runAgent(instance, plan))
     return server
--- a/packages/router/src/links/createAgentLink.ts
+++ b/packages/router/src/links/createAgentLink.ts
@@ -10,7 +10,7 @@
 
 import type { Either } from 'purify-ts'
 import type { AttemptId, EventLog, Fault, Incarnation, InstanceName, TimerService } from '@figmount/base'
-import type { AgentReport, FromAgent, Link, PermitReply, ToAgent } from '@figmount/peers'
+import type { AgentReport, AgentToRouterMessage, Link, PermitReply, RouterToAgentMessage } from '@figmount/peers'
 import type { Mailbox } from '../answers/createMailbox.js'
 import type { AgentLink, AgentView, AttemptChannel, AttemptMessage, AttemptNotice, DialAgent, LinkHooks } from './types.js'
 
@@ -28,7 +28,7 @@
   readonly reportPeriodMs: () => number
 }
 
-type OpenLink = Link<ToAgent, FromAgent>
+type OpenLink = Link<RouterToAgentMessage, AgentToRouterMessage>
 
 interface OpenAttempt {
   readonly mailbox: Mailbox<AttemptNotice>
@@ -70,7 +70,7 @@
   const isWanted = (): boolean =>
     !isStopped && (attempts.size > 0 || pendingPermits.size > 0 || openWaiters.size > 0 || timers.nowMs() - lastUsedMs < IDLE_LINK_MS)
 
-  const send = (message: ToAgent): boolean => {
+  const send = (message: RouterToAgentMessage): boolean => {
     if (!link?.isOpen()) return false
     link.send(message)
     lastSentMs = timers.nowMs()
@@ -100,7 +100,7 @@
     }
   }
 
-  const applyWelcome = (welcome: Extract<FromAgent, { type: 'welcome' }>): void => {
+  const applyWelcome = (welcome: Extract<AgentToRouterMessage, { type: 'welcome' }>): void => {
     const isNewIncarnation = view.incarnation !== welcome.incarnation
     view = {
       ...view,
@@ -127,7 +127,7 @@
     events.emit(RouterEvent.frameDropped, { attemptId: message.attemptId, peer: instance, reason: 'nobody waits for this attempt' })
   }
 
-  const handle = (message: FromAgent): void => match(message)
+  const handle = (message: AgentToRouterMessage): void => match(message)
     // Most frequent messages first: the patterns are tried in order.
     .with({ type: 'tokens' }, { type: 'final' }, { type: 'progress' }, { type: 'refused' }, { type: 'unknown' }, deliver)
     .with({ type: 'welcome' }, applyWelcome)
--- a/packages/router/src/links/types.ts
+++ b/packages/router/src/links/types.ts
@@ -1,12 +1,12 @@
 import type { EitherAsync } from 'purify-ts'
 import type { AttemptId, DataCentre, Fault, Incarnation, InstanceName, LogOffset } from '@figmount/base'
-import type { AgentReport, FromAgent, Link, PermitReply, ToAgent } from '@figmount/peers'
+import type { AgentReport, AgentToRouterMessage, Link, PermitReply, RouterToAgentMessage } from '@figmount/peers'
 
 /** Dials an agent; `onOffset` is called with the log offset of every received envelope. */
 export type DialAgent = (
   instance: InstanceName,
   onOffset: (offset: LogOffset) => void
-) => EitherAsync<Fault, Link<ToAgent, FromAgent>>
+) => EitherAsync<Fault, Link<RouterToAgentMessage, AgentToRouterMessage>>
 
 /** Last known state of an agent. */
 export interface AgentView {
@@ -29,7 +29,7 @@
 }
 
 /** Messages of an agent about one attempt. */
-export type AttemptMessage = Extract<FromAgent, { readonly type: 'progress' | 'tokens' | 'final' | 'refused' | 'unknown' }>
+export type AttemptMessage = Extract<AgentToRouterMessage, { readonly type: 'progress' | 'tokens' | 'final' | 'refused' | 'unknown' }>
 
 /** Input to the task of an attempt: the agent's messages and the state of the link. */
 export type AttemptNotice =
@@ -44,15 +44,15 @@
 /** Channel of one attempt on a link. It survives reconnects: each new connection resumes the attempt. */
 export interface AttemptChannel {
   /** Sends `start` or `resume`; from then on each new connection resumes the attempt. False if no connection is open. */
-  readonly begin: (message: Extract<ToAgent, { readonly type: 'start' | 'resume' }>) => boolean
-  readonly send: (message: ToAgent) => boolean
+  readonly begin: (message: Extract<RouterToAgentMessage, { readonly type: 'start' | 'resume' }>) => boolean
+  readonly send: (message: RouterToAgentMessage) => boolean
   readonly take: (waitMs: number, signal?: AbortSignal) => Promise<AttemptNotice | undefined>
   /** Returns true once after frames were dropped because the reader was slow. */
   readonly hasOverflowed: () => boolean
   readonly close: () => void
 }
 
-export type PermitAsk = Omit<Extract<ToAgent, { readonly type: 'permit.ask' }>, 'type' | 'askId'>
+export type PermitAsk = Omit<Extract<RouterToAgentMessage, { readonly type: 'permit.ask' }>, 'type' | 'askId'>
 
 /** The connection to one agent, opened on demand. */
 export interface AgentLink {
@@ -66,7 +66,7 @@
   readonly openAttempt: (attemptId: AttemptId, nextFrame: () => number) => AttemptChannel
   /** Left if the agent did not reply in time; the permit may have been granted or not. */
   readonly askPermit: (ask: PermitAsk, waitMs: number) => EitherAsync<Fault, PermitReply>
-  readonly send: (message: ToAgent) => boolean
+  readonly send: (message: RouterToAgentMessage) => boolean
   /** Monotonic time of the last use of an open link without attempts; undefined if it is in use or closed. */
   readonly idleSinceMs: () => number | undefined
   /** Closes the connection; it is reopened on demand. */
@@ -81,4 +81,4 @@
 }
 
 /** Messages that do not belong to a single attempt. */
-export type SharedMessage = Extract<FromAgent, { readonly type: 'records' | 'records.ask' | 'suspect' | 'leaving' }>
+export type SharedMessage = Extract<AgentToRouterMessage, { readonly type: 'records' | 'records.ask' | 'suspect' | 'leaving' }>
--- a/packages/router/src/peers/createRouterPeers.ts
+++ b/packages/router/src/peers/createRouterPeers.ts
@@ -8,10 +8,10 @@
 
 import type { EitherAsync } from 'purify-ts'
 import type { EventLog, Fault, Incarnation, InstanceName, LogOffset, TimerService } from '@figmount/base'
-import type { BetweenRouters, Link, RouterDigest } from '@figmount/peers'
+import type { RouterToRouterMessage, Link, RouterDigest } from '@figmount/peers'
 import type { PeerView, SharedMessage } from './types.js'
 
-export type RouterLink = Link<BetweenRouters, BetweenRouters>
+export type RouterLink = Link<RouterToRouterMessage, RouterToRouterMessage>
 
 interface Options {
   readonly instance: InstanceName
@@ -33,9 +33,9 @@
   readonly setNeighbours: (neighbours: readonly InstanceName[]) => void
   /** Runs a link dialled by another router. */
   readonly accept: (link: RouterLink) => Promise<void>
-  readonly broadcast: (message: BetweenRouters, except?: string) => void
+  readonly broadcast: (message: RouterToRouterMessage, except?: string) => void
   /** Sends on a link to the named router, if one is open. */
-  readonly sendTo: (peer: string, message: BetweenRouters) => void
+  readonly sendTo: (peer: string, message: RouterToRouterMessage) => void
   /** Announces a change of the own offset to neighbours within ANNOUNCE_DELAY_MS. */
   readonly announce: () => void
   readonly views: () => ReadonlyMap<InstanceName, PeerView>
@@ -73,7 +73,7 @@
 
   const sendHeartbeat = (link: RouterLink): void => link.send({ type: 'heartbeat', sentAtMs: timers.nowMs(), digest: digestFor(link) })
 
-  const handle = (link: RouterLink, message: BetweenRouters): void => match(message)
+  const handle = (link: RouterLink, message: RouterToRouterMessage): void => match(message)
     .with({ type: 'hello' }, ({ instance }) => events.emit(RouterEvent.peerReached, { peer: instance }))
     .with({ type: 'heartbeat' }, ({ sentAtMs, digest }) => {
       applyDigest(digest)
--- a/packages/router/src/peers/types.ts
+++ b/packages/router/src/peers/types.ts
@@ -1,14 +1,14 @@
 import type { InstanceName, LogOffset } from '@figmount/base'
-import type { BetweenRouters, FromAgent, ToAgent } from '@figmount/peers'
+import type { RouterToRouterMessage, AgentToRouterMessage, RouterToAgentMessage } from '@figmount/peers'
 
 /** Messages that this router may send to agents and routers alike. */
 export type GossipMessage =
-  Extract<ToAgent, { readonly type: 'records' | 'records.ask' | 'suspect' }>
+  Extract<RouterToAgentMessage, { readonly type: 'records' | 'records.ask' | 'suspect' }>
 
 /** Messages about records, suspicions and leaving, received from an agent or another router. */
 export type SharedMessage =
-  | Extract<FromAgent, { readonly type: 'records' | 'records.ask' | 'suspect' | 'leaving' }>
-  | Extract<BetweenRouters, { readonly type: 'records' | 'records.ask' | 'suspect' | 'leaving' }>
+  | Extract<AgentToRouterMessage, { readonly type: 'records' | 'records.ask' | 'suspect' | 'leaving' }>
+  | Extract<RouterToRouterMessage, { readonly type: 'records' | 'records.ask' | 'suspect' | 'leaving' }>
 
 export type SendGossip = (message: GossipMessage) => void
 
--- a/packages/router/src/requests/runAttempt.ts
+++ b/packages/router/src/requests/runAttempt.ts
@@ -3,12 +3,12 @@
 import { followAttempt } from './followAttempt.js'
 
 import type { AttemptId, InstanceName } from '@figmount/base'
-import type { Permit, ToAgent } from '@figmount/peers'
+import type { Permit, RouterToAgentMessage } from '@figmount/peers'
 import type { AnswerPart } from '../answers/types.js'
 import type { MutableAnswer } from './followAttempt.js'
 import type { AdmittedRequest, AttemptOutcome, ServeContext } from './types.js'
 
-type Begin = Extract<ToAgent, { readonly type: 'start' | 'resume' }>
+type Begin = Extract<RouterToAgentMessage, { readonly type: 'start' | 'resume' }>
 
 interface RunOptions {
   readonly context: ServeContext
--- a/packages/router/src/requests/serveRequest.property.test.ts
+++ b/packages/router/src/requests/serveRequest.property.test.ts
@@ -7,7 +7,7 @@
 import { serveRequest } from './serveRequest.js'
 
 import type { AttemptId, InstanceName } from '@figmount/base'
-import type { FromAgent } from '@figmount/peers'
+import type { AgentToRouterMessage } from '@figmount/peers'
 import type { AgentBehaviour } from '../testing/createFakeAgent.js'
 
 const SEED = 20_261_202
@@ -19,10 +19,10 @@
 type AgentAction = 'answer' | 'stall' | 'refuse' | 'lose' | 'crash' | 'cut' | 'die' | 'silent'
 const agentActions = fc.array(fc.constantFrom<AgentAction>('answer', 'stall', 'refuse', 'lose', 'crash', 'cut', 'die', 'silent'), { minLength: 1, maxLength: 3 })
 
-const refusal = (attemptId: AttemptId, runState: RunState): FromAgent =>
+const refusal = (attemptId: AttemptId, runState: RunState): AgentToRouterMessage =>
   ({ type: 'refused', attemptId, refusal: { runState, reason: RefusalReason.UNAVAILABLE, retryAfterMs: 5, detail: '', step: 's', peer: 'p' } })
 
-const framesFrom = (attemptId: AttemptId, done: number): readonly FromAgent[] => [
+const framesFrom = (attemptId: AttemptId, done: number): readonly AgentToRouterMessage[] => [
   { type: 'tokens', attemptId, frame: 0, firstTokenIndex: done, tokens: WORDS.slice(done) },
   { type: 'final', attemptId, frame: 1, tokenCount: WORDS.length, finishReason: FinishReason.STOP, version: 'v1' }
 ]
@@ -41,7 +41,7 @@
   const trouble = { cut: (_agent: string): void => {}, die: (_agent: string): void => {} }
   const behaviourOf = (agent: string, turns: readonly AgentAction[]): AgentBehaviour => {
     let turn = 0
-    const storedFrames = new Map<AttemptId, readonly FromAgent[]>()
+    const storedFrames = new Map<AttemptId, readonly AgentToRouterMessage[]>()
     return (message, send) => {
       if (message.type === 'permit.ask') {
         const { attemptId, executor, executorIncarnation, request: { caller, requestKey } } = message
--- a/packages/router/src/requests/serveRequest.test.ts
+++ b/packages/router/src/requests/serveRequest.test.ts
@@ -5,15 +5,15 @@
 import { serveRequest } from './serveRequest.js'
 
 import type { AttemptId, Incarnation } from '@figmount/base'
-import type { FromAgent } from '@figmount/peers'
+import type { AgentToRouterMessage } from '@figmount/peers'
 import type { AgentBehaviour } from '../testing/createFakeAgent.js'
 
 const never = new AbortController().signal
 
-const tokens = (attemptId: AttemptId, frame: number, firstTokenIndex: number, ...words: string[]): FromAgent =>
+const tokens = (attemptId: AttemptId, frame: number, firstTokenIndex: number, ...words: string[]): AgentToRouterMessage =>
   ({ type: 'tokens', attemptId, frame, firstTokenIndex, tokens: words })
 
-const final = (attemptId: AttemptId, frame: number, tokenCount: number): FromAgent =>
+const final = (attemptId: AttemptId, frame: number, tokenCount: number): AgentToRouterMessage =>
   ({ type: 'final', attemptId, frame, tokenCount, finishReason: FinishReason.STOP, version: 'v1' })
 
 const words = ['a', 'b', 'c', 'd']
--- a/packages/router/src/router/createDials.ts
+++ b/packages/router/src/router/createDials.ts
@@ -3,7 +3,7 @@
 import { openLink } from '@figmount/peers'
 
 import type { Fault, InstanceName, LogOffset } from '@figmount/base'
-import type { BetweenRouters, LinkContext } from '@figmount/peers'
+import type { RouterToRouterMessage, LinkContext } from '@figmount/peers'
 import type { DialAgent } from '../links/types.js'
 import type { Membership } from '../membership/createMembership.js'
 import type { RouterLink } from '../peers/createRouterPeers.js'
@@ -27,7 +27,7 @@
     const address = membership.peerAddressOf(instance)
     if (!address) return unlisted(instance)
     let link: RouterLink | undefined
-    const opened = openLink<BetweenRouters, BetweenRouters>(address, {
+    const opened = openLink<RouterToRouterMessage, RouterToRouterMessage>(address, {
       ...context,
       onPeerOffset: (_peer, offset) => { if (link) onRouterOffset(link, offset) }
     })
--- a/packages/router/src/router/startRouter.ts
+++ b/packages/router/src/router/startRouter.ts
@@ -15,7 +15,7 @@
 import { stopRouter } from './stopRouter.js'
 
 import type { RunningProcess } from '@figmount/base'
-import type { BetweenRouters } from '@figmount/peers'
+import type { RouterToRouterMessage } from '@figmount/peers'
 import type { RouterParts } from './types.js'
 
 /** Time after the last request has ended until busy connections are closed. */
@@ -49,7 +49,7 @@
     handlePlain: createPlainHandler({ context, gate, limits }),
     maxMessageBytes: maxMessageBytesFor(limits.prompt_bytes)
   })
-  acceptLinks<BetweenRouters, BetweenRouters>(server.server, network.acceptContext, peers.accept)
+  acceptLinks<RouterToRouterMessage, RouterToRouterMessage>(server.server, network.acceptContext, peers.accept)
   metrics.gauge('requests_running', gate.count)
   metrics.gauge('agent_links_open', () => links.views().filter(view => view.isOpen).length)
   const stopTasks = startTasks({ parts, membership, network, suspects })
--- a/packages/router/src/routing/createEstimates.ts
+++ b/packages/router/src/routing/createEstimates.ts
@@ -1,4 +1,4 @@
-import { guess, observe } from '@figmount/decisions'
+import { initialEstimate, observe } from '@figmount/decisions'
 
 import type { ModelId } from '@figmount/base'
 import type { Estimate } from '@figmount/decisions'
@@ -22,7 +22,7 @@
   return {
     get: (model: ModelId): Estimate | undefined => estimates.get(model),
     add: (model: ModelId, value: number): void => {
-      const known = estimates.get(model) ?? guess(value)
+      const known = estimates.get(model) ?? initialEstimate(value)
       estimates.delete(model)
       estimates.set(model, observe(known, value))
       const [oldest] = estimates.keys()
--- a/packages/router/src/testing/createFakeAgent.ts
+++ b/packages/router/src/testing/createFakeAgent.ts
@@ -3,29 +3,29 @@
 import { createInbox } from '@figmount/peers'
 
 import type { DataCentre, Incarnation, InstanceName, LogOffset, TimerService } from '@figmount/base'
-import type { AgentReport, FromAgent, Link, ModelReport, ToAgent } from '@figmount/peers'
+import type { AgentReport, AgentToRouterMessage, Link, ModelReport, RouterToAgentMessage } from '@figmount/peers'
 import type { DialAgent } from '../links/types.js'
 
 /** Reaction of a fake agent to a message; `send` replies on the same link. */
-export type AgentBehaviour = (message: ToAgent, send: (message: FromAgent) => void) => void
+export type AgentBehaviour = (message: RouterToAgentMessage, send: (message: AgentToRouterMessage) => void) => void
 
 /** An in-memory agent. */
 export interface FakeAgent {
   readonly dial: DialAgent
-  readonly received: () => readonly ToAgent[]
-  readonly receivedOf: <T extends ToAgent['type']>(type: T) => readonly Extract<ToAgent, { type: T }>[]
+  readonly received: () => readonly RouterToAgentMessage[]
+  readonly receivedOf: <T extends RouterToAgentMessage['type']>(type: T) => readonly Extract<RouterToAgentMessage, { type: T }>[]
   /** Closes every open link. */
   readonly cut: () => void
   /** Makes dials fail while the agent is down. */
   readonly setDown: (isDown: boolean) => void
   readonly setModels: (models: readonly ModelReport[]) => void
   readonly setQueuedSeconds: (seconds: number) => void
-  readonly send: (message: FromAgent) => void
+  readonly send: (message: AgentToRouterMessage) => void
 }
 
 export const createFakeAgent = (instance: string, timers: TimerService, behave: AgentBehaviour): FakeAgent => {
-  const received: ToAgent[] = []
-  const links = new Set<{ readonly deliver: (message: FromAgent) => void, readonly end: () => void }>()
+  const received: RouterToAgentMessage[] = []
+  const links = new Set<{ readonly deliver: (message: AgentToRouterMessage) => void, readonly end: () => void }>()
   let isDown = false
   let sequence = 0
   let models: readonly ModelReport[] = []
@@ -44,7 +44,7 @@
     models
   })
 
-  const answer = (message: ToAgent, send: (message: FromAgent) => void): void => {
+  const answer = (message: RouterToAgentMessage, send: (message: AgentToRouterMessage) => void): void => {
     received.push(message)
     if (message.type === 'hello') {
       return send({ type: 'welcome', instance: instance as InstanceName, incarnation: '1' as Incarnation, dataCentre: 'dc' as DataCentre, report: report() })
@@ -53,10 +53,10 @@
     behave(message, send)
   }
 
-  const openLink = (onOffset: (offset: LogOffset) => void): Link<ToAgent, FromAgent> => {
-    const inbox = createInbox<FromAgent>()
+  const openLink = (onOffset: (offset: LogOffset) => void): Link<RouterToAgentMessage, AgentToRouterMessage> => {
+    const inbox = createInbox<AgentToRouterMessage>()
     let isOpen = true
-    const send = (message: FromAgent): void => { if (isOpen) inbox.push(message) }
+    const send = (message: AgentToRouterMessage): void => { if (isOpen) inbox.push(message) }
     const end = (): void => {
       isOpen = false
       links.delete(entry)
@@ -73,7 +73,7 @@
       close: end,
       isOpen: () => isOpen,
       bufferedBytes: () => 0,
-      lastHeardMs: timers.nowMs
+      lastReceivedMs: timers.nowMs
     }
   }
 
@@ -82,7 +82,7 @@
       ? EitherAsync.liftEither(Left(makeFault(FaultKind.Unavailable, 'links.open', instance, 'refused')))
       : EitherAsync.liftEither(Right(openLink(onOffset))),
     received: () => received,
-    receivedOf: type => received.filter((message): message is Extract<ToAgent, { type: typeof type }> => message.type === type),
+    receivedOf: type => received.filter((message): message is Extract<RouterToAgentMessage, { type: typeof type }> => message.type === type),
     cut: () => { for (const link of [...links]) link.end() },
     setDown: value => { isDown = value },
     setModels: value => { models = value },
--- a/packages/sidecar/src/engine/viewEngine.ts
+++ b/packages/sidecar/src/engine/viewEngine.ts
@@ -1,5 +1,5 @@
-import { lateByFewer, planOrder } from '@figmount/decisions'
-import { hasCopy } from '@figmount/fleet'
+import { countLateWithFewerReplicas, planOrder } from '@figmount/decisions'
+import { hasLocalCopy } from '@figmount/fleet'
 
 import type { EngineView, OrderPlan, ResidentAdapter, PlacedModel, WantView } from '@figmount/decisions'
 import type { EngineSpec, ModelSpec, ServerReport } from '@figmount/fleet'
@@ -64,9 +64,9 @@
       promptTokensPerS: total.promptTokensPerS,
       replicaCount: total.replicaCount,
       isDemandKnown: inputs.demand.isSettled(),
-      returnsMs: loadMsOf(inputs.report, model, held.name),
+      reloadMs: loadMsOf(inputs.report, model, held.name),
       isRunning: isRunning(inputs.report, total.isRunning),
-      heldMs: inputs.nowMs - (inputs.heldSinceMs.get(held.name) ?? -Infinity),
+      residentMs: inputs.nowMs - (inputs.heldSinceMs.get(held.name) ?? -Infinity),
       idleMs: total.idleMs
     }
   })
@@ -107,7 +107,7 @@
   const model = modelSpecsOf(inputs.spec).get(want.modelName)
   const total = inputs.demand.totalFor(want.modelName)
   // A router sees at once the queue that its own requests meet; the agent sees the demand of all routers, a few seconds late.
-  const lateCount = Math.max(want.lateCount, lateByFewer(total, total.replicaCount + 1, total.replicaCount))
+  const lateCount = Math.max(want.lateCount, countLateWithFewerReplicas(total, total.replicaCount + 1, total.replicaCount))
   return {
     modelName: want.modelName,
     adapterName: want.adapterName,
@@ -117,7 +117,7 @@
     // Room for a model that an unanswered order may still load is reserved already.
     weightsMb: (model?.weightsMb ?? Infinity) - (inputs.reserve.modelsMb.get(want.modelName) ?? 0),
     adapterMb: model?.adapterMb ?? 0,
-    isAtHand: hasCopy(inputs.report, want.modelName),
+    hasLocalCopy: hasLocalCopy(inputs.report, want.modelName),
     loadMs: loadMsOf(inputs.report, model, want.modelName)
   }
 }
@@ -137,7 +137,7 @@
     freeAdapterSlots: inputs.spec.adapterSlots - adapterKeys.size - inputs.reserve.adapterKeys.size,
     isBusy: inputs.report.isBusy,
     mayLoadCold: inputs.mayLoadCold,
-    comingModel: inputs.loadingModel,
+    loadingModel: inputs.loadingModel,
     unansweredLoad: inputs.unansweredLoad,
     wants: inputs.wants.map(want => viewWant(inputs, want))
   }
--- a/packages/sidecar/src/limits/createLimiters.test.ts
+++ b/packages/sidecar/src/limits/createLimiters.test.ts
@@ -75,7 +75,7 @@
     choose(limiters, 'r1', 1)
     timers.advance(10_000)
     expect(countTaken(limiters, 'r1', 200)).to.equal(6)
-    limiters.giveBack('r1', { type: 'unitsReturned', organisation: 'acme', units: 400 })
+    limiters.returnUnits('r1', { type: 'unitsReturned', organisation: 'acme', units: 400 })
     expect(countTaken(limiters, 'r1', 200)).to.equal(2)
   })
 })
--- a/packages/sidecar/src/limits/createLimiters.ts
+++ b/packages/sidecar/src/limits/createLimiters.ts
@@ -27,7 +27,7 @@
   readonly choose: (router: string, chosen: Pick<LimiterChosen, 'organisations' | 'routerCount'>) => void
   readonly dropRouter: (router: string) => void
   readonly ask: (router: string, asked: UnitsAsked) => UnitsAnswered
-  readonly giveBack: (router: string, returned: UnitsReturned) => void
+  readonly returnUnits: (router: string, returned: UnitsReturned) => void
 }
 
 /**
@@ -98,7 +98,7 @@
         ? { type: 'unitsAnswered', askId, outcome: 'taken', waitMs: taking.waitMs }
         : { type: 'unitsAnswered', askId, outcome: 'refused', waitMs: taking.retryAfterMs }
     },
-    giveBack: (router, { organisation, units }) => {
+    returnUnits: (router, { organisation, units }) => {
       const limiter = limiters.get(organisation)
       if (!limiter?.routers.has(router)) return
       limiters.set(organisation, { ...limiter, bucket: { ...limiter.bucket, levelUnits: limiter.bucket.levelUnits + units } })
--- a/packages/sidecar/src/links/serveRouters.ts
+++ b/packages/sidecar/src/links/serveRouters.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http'
 import { match } from 'ts-pattern'
-import { isLoadNews } from '@figmount/decisions'
+import { shouldReportLoad } from '@figmount/decisions'
 import { MESSAGE_STRUCTURES } from '@figmount/fleet'
 import { acceptLinks, createMessageCodec, HEARTBEAT_MS, NO_OFFSET, packMessage } from '@figmount/peers'
 
@@ -117,7 +117,7 @@
     const load = options.describeLoad()
     if (!load) return
     const atMs = timers.nowMs()
-    if (sentLoad && !isLoadNews({ load: sentLoad.load, ageMs: atMs - sentLoad.atMs, hasReplicaElsewhere: options.hasReplicaElsewhere() }, load)) return
+    if (sentLoad && !shouldReportLoad({ load: sentLoad.load, ageMs: atMs - sentLoad.atMs, hasReplicaElsewhere: options.hasReplicaElsewhere() }, load)) return
     sentLoad = { load, atMs }
     sendToAll(load)
   }
@@ -162,7 +162,7 @@
       .with({ type: 'deploymentAsked' }, () => { sendDeployment(link) })
       .with({ type: 'limiterChosen' }, chosen => { options.limiters.choose(link.peer, chosen) })
       .with({ type: 'unitsAsked' }, asked => { sendTo(link, options.limiters.ask(link.peer, asked)) })
-      .with({ type: 'unitsReturned' }, returned => { options.limiters.giveBack(link.peer, returned) })
+      .with({ type: 'unitsReturned' }, returned => { options.limiters.returnUnits(link.peer, returned) })
       .with({ type: 'crash' }, notice => { sendToAll(notice, link) })
       .with({ type: 'heartbeat' }, () => {})
       .exhaustive()
--- a/scripts/decisions/rushTable.ts
+++ b/scripts/decisions/rushTable.ts
@@ -1,7 +1,7 @@
-import { backOffByNeed, backOffEqually } from '../../packages/decisions/src/loading/pace.js'
+import { backOffByNeed, backOffEqually } from '../../packages/decisions/src/loading/backOff.js'
 import { shiftStart, simulateStoreRush } from '../../packages/decisions/src/simulation/simulateStoreRush.js'
 
-import type { RushLoad, RushMeasures, RushWay } from '../../packages/decisions/src/simulation/simulateStoreRush.js'
+import type { RushLoad, RushMeasures, RushStrategy } from '../../packages/decisions/src/simulation/simulateStoreRush.js'
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8] as const
 const ASK_PERIOD_MS = 20
@@ -11,7 +11,7 @@
 const meanOf = (runs: readonly RushMeasures[], pick: (run: RushMeasures) => number): number =>
   runs.reduce((sum, run) => sum + pick(run), 0) / runs.length
 
-const rushRow = (rush: string, way: string, loads: readonly RushLoad[], how: RushWay): string => {
+const rushRow = (rush: string, way: string, loads: readonly RushLoad[], how: RushStrategy): string => {
   const runs = SEEDS.map(seed => simulateStoreRush(loads, how, seed))
   const second = (pick: (run: RushMeasures) => number): string => (meanOf(runs, pick) / 1_000).toFixed(1)
   return `| ${rush} | ${way} | ${second(run => run.meanCallerWaitMs)} | ${second(run => run.p99CallerWaitMs)} | ${second(run => run.endMs)} | ${Math.round(meanOf(runs, run => run.refusedCount))} |`
@@ -19,7 +19,7 @@
 
 const rowsOf = (rush: string, loads: readonly RushLoad[]): readonly string[] => {
   const byNeed = [...loads].sort((a, b) => b.waitingCount - a.waitingCount)
-  const central: RushWay = { backOff: () => ASK_PERIOD_MS, centralLimit: 4 }
+  const central: RushStrategy = { backOff: () => ASK_PERIOD_MS, centralLimit: 4 }
   return [
     rushRow(rush, 'equal back-off (baseline)', loads, { backOff: backOffEqually }),
     rushRow(rush, 'back-off by need (figmount)', loads, { backOff: backOffByNeed }),
