--- a/packages/proof/src/checks/checkEngines.test.ts
+++ b/packages/proof/src/checks/checkEngines.test.ts
@@ -12,22 +12,22 @@
 
 const { loadStarted, modelUnloaded, generateStarted } = StandinEvent
 
-describe('check of engines', () => {
-  it('sees a replica too many', () => {
+describe('checkEngines', () => {
+  it('counts replicas of a model that are loaded at the same time', () => {
     const apart = [event('e1', loadStarted, { model: 'm' }), event('e1', modelUnloaded, { model: 'm' }), event('e2', loadStarted, { model: 'm' })]
     expect(checkEngines(apart).maxReplicas.get('m')).to.equal(1)
     const together = [event('e1', loadStarted, { model: 'm' }), event('e2', loadStarted, { model: 'm' })]
     expect(checkEngines(together).maxReplicas.get('m')).to.equal(2)
   })
 
-  it('forgets what a dead engine held', () => {
+  it('drops the models of an engine that exited', () => {
     const events = [event('e1', loadStarted, { model: 'm' }), event('e1', RigEvent.processExited), event('e2', loadStarted, { model: 'm' })]
     const findings = checkEngines(events)
     expect(findings.maxReplicas.get('m')).to.equal(1)
     expect(findings.loadCounts.get('m')).to.equal(2)
   })
 
-  it('sees memory over capacity and counts runs', () => {
+  it('reports memory over capacity and counts runs', () => {
     const events = [
       event('e1', loadStarted, { model: 'm', memoryMb: 11, memoryCapacityMb: 10 }),
       event('e1', generateStarted, { detail: 'wall' }), event('e1', generateStarted, { detail: 'wall' })
--- a/packages/proof/src/checks/judgeRun.ts
+++ b/packages/proof/src/checks/judgeRun.ts
@@ -2,11 +2,11 @@
 
 import type { EventRecord } from '@figmount/base'
 
-/** Promises that events decide without any allowance of time, so that a busy machine cannot change the verdict. */
-const JUDGED: ReadonlySet<string> = new Set([PromiseName.Replicas, PromiseName.Memory, PromiseName.Configuration])
+/** Guarantees that can be checked from events without a time tolerance, so that a busy machine cannot change the result. */
+const CHECKED_PROMISES: ReadonlySet<string> = new Set([PromiseName.Replicas, PromiseName.Memory, PromiseName.Configuration])
 
-/** Broken promises that the events of a run show, one line each; every proof is held against them when its site closes. */
+/** Lists the violated guarantees that the events of a run show, one line each; every site checks this when it closes. */
 export const judgeRun = (events: readonly EventRecord[]): readonly string[] =>
   checkPromises(orderEvents(events)).violations
-    .filter(violation => JUDGED.has(violation.promise))
+    .filter(violation => CHECKED_PROMISES.has(violation.promise))
     .map(violation => `${violation.promise}: ${violation.detail}`)
--- a/packages/proof/src/index.ts
+++ b/packages/proof/src/index.ts
@@ -1,4 +1,4 @@
-/** Test rig with real processes, and checks of what a run has shown. */
+/** Test rig that starts real processes, and checks over the events of a run. */
 export type * from './rig/types.js'
 export type * from './rig/callTypes.js'
 export type * from './rig/sitePlan.js'
--- a/packages/proof/src/path/binaries.test.ts
+++ b/packages/proof/src/path/binaries.test.ts
@@ -6,10 +6,10 @@
 
 const ROOT = join(import.meta.dirname, '../../../..')
 
-describe('the programs of a clone', () => {
-  it('are found by npx', () => {
-    // An operator builds a clone and calls `npx figmountctl`, as the pages say. npm knew of no such program and asked its registry
-    // for one: the package named none.
+describe('binaries of the package', () => {
+  it('run through npx in a clone', () => {
+    // The docs tell operators to call `npx figmountctl` in a built clone. Without a `bin` entry in package.json, npx
+    // looks the name up in its registry instead of running the local file.
     const { bin } = JSON.parse(readFileSync(join(ROOT, 'package.json'), 'utf8')) as { readonly bin: Readonly<Record<string, string>> }
     expect(Object.keys(bin)).to.include.members(['figmount-router', 'figmount-agent', 'figmountctl', 'figmount-timeline'])
     for (const name of Object.keys(bin)) {
--- a/packages/proof/src/path/operatorTool.test.ts
+++ b/packages/proof/src/path/operatorTool.test.ts
@@ -6,7 +6,7 @@
 import { hashKey } from '@figmount/base'
 
 import { createSite, OPERATOR_KEY } from '../rig/createSite.js'
-import { askSite } from '../rig/smallSite.js'
+import { sendToSite } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -30,7 +30,7 @@
 
 let site: Site
 
-/** What the tool printed and its exit code. */
+/** Runs the tool; returns its output and exit code. */
 const ctl = async (...args: readonly string[]): Promise<{ readonly out: string, readonly code: number }> => {
   const settings = join(site.rig.folder, 'ctl.ini')
   writeFileSync(settings, `[routers]\naddresses = ${site.routerAddresses().join(', ')}\n[operator]\nkey = ${OPERATOR_KEY}\n`)
@@ -49,13 +49,13 @@
   return await ctl('apply', file, '--yes', '--wait-ms', '20000')
 }
 
-describe('operators\' tool', () => {
+describe('figmountctl', () => {
   before(async () => {
     site = await createSite({ name: 'ctl', routers: [{ name: 'r1' }, { name: 'r2' }], agents: [{ name: 'a1', services: ['readers'] }] })
   })
   after(async () => { await site.close() })
 
-  it('applies a file and says when it is in force', async () => {
+  it('applies a file and reports when it is in force', async () => {
     const { out, code } = await apply(CONFIGURATION)
     expect(out).to.match(/\+ models\.cracks\.memoryMb = 1000/).and.to.match(/in force everywhere after \d+ ms/)
     expect(code).to.equal(0)
@@ -74,7 +74,7 @@
     await site.rig.until('the slot to be granted', async () => (await ctl('status')).out.includes('granted'))
     const { out } = await ctl('status')
     expect(out).to.contain('a1').and.to.contain('readers/cracks').and.to.contain('log: reachable')
-    expect((await askSite(site, { service: 'readers', model: 'cracks', prompt: 'wall', requestKey: 'seen' })).last.kind).to.equal('answered')
+    expect((await sendToSite(site, { service: 'readers', model: 'cracks', prompt: 'wall', requestKey: 'seen' })).last.kind).to.equal('answered')
     expect((await ctl('explain', 'seen')).out).to.contain('requestAnswered')
   })
 
@@ -84,7 +84,7 @@
     expect((await ctl('drain', 'nobody')).code).to.equal(1)
   })
 
-  it('refuses a file with mistakes before it asks anybody', async () => {
+  it('rejects a file with mistakes before contacting a router', async () => {
     const { out, code } = await apply(CONFIGURATION.replace('max_replicas', 'max_replica'))
     expect(out).to.contain('[service/readers/model/cracks] max_replica: expected a known key')
     expect(code).to.equal(1)
--- a/packages/proof/src/path/wholePath.test.ts
+++ b/packages/proof/src/path/wholePath.test.ts
@@ -3,32 +3,32 @@
 
 import { callerKey, DEFAULT_CALLER } from '../rig/operate.js'
 import { callOnce } from '../rig/callOnce.js'
-import { askMany, askSite, expectWhole, expectWithinBounds, MODEL, runCountsOf, SERVICE, SLOW_STORE, startSmallSite } from '../rig/smallSite.js'
+import { sendMany, sendToSite, expectAnswered, expectWithinBounds, MODEL, runCountsOf, SERVICE, SLOW_STORE, startSmallSite } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
-describe('whole path', () => {
+describe('request path from routers to engines', () => {
   let site: Site
   before(async () => { site = await startSmallSite('path', { weights: SLOW_STORE }) })
   after(async () => await site.close())
 
-  it('meets a burst at both routers with one load', async () => {
-    expectWhole(await askMany(site, 40, 'north wall'))
+  it('serves a burst at both routers with one load', async () => {
+    expectAnswered(await sendMany(site, 40, 'north wall'))
     expect(site.rig.events.all().filter(event => event.number === StandinEvent.loadStarted.number)).to.have.length(1)
     expectWithinBounds(site)
   })
 
   it('streams an answer frame by frame', async () => {
-    const outcome = await askSite(site, { prompt: 'south wall', maxTokens: 60 })
-    expectWhole([outcome])
+    const outcome = await sendToSite(site, { prompt: 'south wall', maxTokens: 60 })
+    expectAnswered([outcome])
     expect(outcome.last.firstTokenMs).to.be.lessThan(outcome.last.totalMs)
     expect(outcome.last.final?.frameCount).to.be.greaterThan(2)
   })
 
-  it('runs a request that may not be repeated once', async () => {
+  it('runs a non-repeatable request only once', async () => {
     const plan = { prompt: 'billed wall', repeatable: false, requestKey: 'bill-1', issuedAtMs: Date.now() }
-    const first = await askSite(site, plan)
-    expectWhole([first])
+    const first = await sendToSite(site, plan)
+    expectAnswered([first])
     const again = await callOnce(site.router('r2').address, { service: SERVICE, model: MODEL, ...plan, resendCount: 1 })
     expect(again.kind).to.equal('answered')
     expect(again.final?.replayed).to.equal(true)
@@ -36,7 +36,7 @@
     expect(runCountsOf(site, 'billed wall')).to.deep.equal([1])
   })
 
-  it('answers plain JSON', async () => {
+  it('answers JSON over plain HTTP', async () => {
     const response = await fetch(`http://${site.router('r1').address}/figmount.v1.Inference/InferWhole`, {
       method: 'POST',
       headers: { 'content-type': 'application/json', authorization: `Bearer ${callerKey(DEFAULT_CALLER)}` },
--- a/packages/proof/src/promises/answers.test.ts
+++ b/packages/proof/src/promises/answers.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 
 import { modelService } from '../rig/sitePlan.js'
-import { askMany, askSite, expectWhole, MODEL, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun, warmUp } from '../rig/smallSite.js'
+import { sendMany, sendToSite, expectAnswered, MODEL, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun, warmUp } from '../rig/smallSite.js'
 
 import type { AgentPlan } from '../rig/sitePlan.js'
 import type { Site } from '../rig/createSite.js'
@@ -20,7 +20,7 @@
     site = await startSmallSite('answers-late', { agents: slowAgents('peer') })
     await warmUp(site)
     for (const agent of ['a1', 'a2']) await site.proxy(`${agent}-peer`).command({ action: 'fault', fault: { kind: 'delay', delayMs: 30 }, scope: 'all' })
-    expectWhole(await askMany(site, 30, 'crossed', { maxTokens: 20 }))
+    expectAnswered(await sendMany(site, 30, 'crossed', { maxTokens: 20 }))
   })
 
   // The connection between agent and engine is cut in the middle of a stream. The stream goes on at the
@@ -28,11 +28,11 @@
   it('when the connection to the engine is cut', async () => {
     site = await startSmallSite('answers-cut-engine', { agents: slowAgents('engine') })
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'cut', ...LONG })
+    const asked = sendToSite(site, { prompt: 'cut', ...LONG })
     const holder = await waitForRun(site, 'cut')
     await site.proxy(`${holder}-engine`).command({ action: 'cut' })
     const outcome = await asked
-    expectWhole([outcome])
+    expectAnswered([outcome])
     expect(outcome.sends).to.have.length(1)
   })
 
@@ -40,11 +40,11 @@
   it('when the connection to the engine goes silent', async () => {
     site = await startSmallSite('answers-silent-engine', { agents: slowAgents('engine') })
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'silent', ...LONG })
+    const asked = sendToSite(site, { prompt: 'silent', ...LONG })
     const holder = await waitForRun(site, 'silent')
     await site.proxy(`${holder}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
     const outcome = await asked
-    expectWhole([outcome])
+    expectAnswered([outcome])
     expect(outcome.sends).to.have.length(1)
   })
 
@@ -52,11 +52,11 @@
   it('when the link to the agent is cut', async () => {
     site = await startSmallSite('answers-cut-link', { agents: slowAgents('peer') })
     await warmUp(site)
-    const asked = askMany(site, 5, 'link', LONG)
+    const asked = sendMany(site, 5, 'link', LONG)
     const holders = await Promise.all([0, 1, 2, 3, 4].map(async index => await waitForRun(site, `link ${index}`)))
     await site.proxy(`${holders[0]}-peer`).command({ action: 'cut' })
     const outcomes = await asked
-    expectWhole(outcomes)
+    expectAnswered(outcomes)
     expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
   })
 
@@ -65,11 +65,11 @@
   it('when the link is cut under requests on their way', async () => {
     site = await startSmallSite('answers-cut-early', { agents: slowAgents('peer') })
     await warmUp(site)
-    const asked = askMany(site, 5, 'link', LONG)
+    const asked = sendMany(site, 5, 'link', LONG)
     const holder = await waitForRun(site, 'link 0')
     await site.proxy(`${holder}-peer`).command({ action: 'cut' })
     const outcomes = await asked
-    expectWhole(outcomes)
+    expectAnswered(outcomes)
     expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
   })
 
@@ -81,20 +81,20 @@
       items: [modelService(SERVICE, [{ name: MODEL, maxReplicas: 2 }])]
     })
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'lost', ...LONG })
+    const asked = sendToSite(site, { prompt: 'lost', ...LONG })
     const holder = await waitForRun(site, 'lost')
     await Promise.all([site.agent(holder).kill(), site.backend(holder).kill()])
-    expectWhole([await asked])
+    expectAnswered([await asked])
   })
 
   // The engine alone dies in the middle of a stream and starts again.
   it('when the engine is killed in the middle of a stream', async () => {
     site = await startSmallSite('answers-kill-engine', { agents: slowAgents() })
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'engine', ...LONG })
+    const asked = sendToSite(site, { prompt: 'engine', ...LONG })
     const engine = site.backend(await waitForRun(site, 'engine'))
     await engine.kill()
     await engine.restart()
-    expectWhole([await asked])
+    expectAnswered([await asked])
   })
 })
--- a/packages/proof/src/promises/configuration.test.ts
+++ b/packages/proof/src/promises/configuration.test.ts
@@ -4,7 +4,7 @@
 import { OPERATOR_KEY } from '../rig/createSite.js'
 import { operatorAt } from '../rig/operate.js'
 import { modelService } from '../rig/sitePlan.js'
-import { askSite, expectWhole, MODEL, SERVICE, startSmallSite } from '../rig/smallSite.js'
+import { sendToSite, expectAnswered, MODEL, SERVICE, startSmallSite } from '../rig/smallSite.js'
 
 import type { ApplyOutcome, ConfigItem } from '@figmount/schema'
 import type { ConfigChange } from '../rig/sitePlan.js'
@@ -49,7 +49,7 @@
 
   const expectNewModels = async (): Promise<void> => {
     expect((await applyAt('r1', withModels(...NEW_MODELS), 1n))?.accepted).to.equal(true)
-    expectWhole(await Promise.all(NEW_MODELS.map(async model => await askSite(site, { prompt: `new ${model}`, model }))))
+    expectAnswered(await Promise.all(NEW_MODELS.map(async model => await sendToSite(site, { prompt: `new ${model}`, model }))))
   }
 
   // One router cannot read the log. It must learn of the change from its peers and serve the new models. Rights that
--- a/packages/proof/src/promises/leaving.test.ts
+++ b/packages/proof/src/promises/leaving.test.ts
@@ -5,7 +5,7 @@
 import { OPERATOR_KEY } from '../rig/createSite.js'
 import { operatorAt } from '../rig/operate.js'
 import { modelService } from '../rig/sitePlan.js'
-import { expectWhole, MODEL, SERVICE, startCaller, startSmallSite } from '../rig/smallSite.js'
+import { expectAnswered, MODEL, SERVICE, startCaller, startSmallSite } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -28,7 +28,7 @@
     await leave()
     const leftAtMs = timers.unixMs()
     await sleep(timers, GRACE_MS + WATCH_MS)
-    expectWhole((await Promise.all(callers.map(async caller => await caller.stop()))).flat())
+    expectAnswered((await Promise.all(callers.map(async caller => await caller.stop()))).flat())
     return site.rig.events.all()
       .filter(event => event.number === StandinEvent.generateStarted.number && event.instance === 'backend-a1')
       .map(event => event.atUnixMs - leftAtMs)
--- a/packages/proof/src/promises/memory.test.ts
+++ b/packages/proof/src/promises/memory.test.ts
@@ -2,7 +2,7 @@
 import { StandinEvent } from '@figmount/standin'
 
 import { modelService } from '../rig/sitePlan.js'
-import { askMany, expectWhole, expectWithinBounds, SERVICE, SLOW_STORE, startSmallSite } from '../rig/smallSite.js'
+import { sendMany, expectAnswered, expectWithinBounds, SERVICE, SLOW_STORE, startSmallSite } from '../rig/smallSite.js'
 
 import type { AskOutcome } from '../rig/callTypes.js'
 import type { Site } from '../rig/createSite.js'
@@ -15,7 +15,7 @@
 const items = [modelService(SERVICE, MODELS.map(name => ({ name })))]
 
 const askAll = async (site: Site, count: number): Promise<readonly AskOutcome[]> =>
-  (await Promise.all(MODELS.map(async model => await askMany(site, count, `wall ${model}`, { model, deadlineMs: 30_000 })))).flat()
+  (await Promise.all(MODELS.map(async model => await sendMany(site, count, `wall ${model}`, { model, deadlineMs: 30_000 })))).flat()
 
 describe('memory is never overcommitted', () => {
   let site: Site
@@ -33,7 +33,7 @@
   // engine had confirmed an unload, memory would be over its capacity.
   it('when more models are wanted than fit', async () => {
     await start('memory-burst')
-    expectWhole(await askAll(site, 4))
+    expectAnswered(await askAll(site, 4))
     expectWithinBounds(site)
     expect(site.rig.events.all().some(event => event.number === StandinEvent.modelUnloaded.number)).to.equal(true)
   })
@@ -46,7 +46,7 @@
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadStarted.number, 'a load to begin')
     await site.agent('a1').kill()
     await site.agent('a1').restart()
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 
@@ -60,7 +60,7 @@
     const mark = site.rig.events.mark()
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadFinished.number, 'a load to end', { sinceMark: mark })
     await site.proxy('a1-engine').command({ action: 'fault', fault: { kind: 'drop' }, direction: 'down', scope: 'existing' })
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 
@@ -71,7 +71,7 @@
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadFinished.number, 'a load to end')
     await site.backend('a1').kill()
     await site.backend('a1').restart()
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 })
--- a/packages/proof/src/promises/once.test.ts
+++ b/packages/proof/src/promises/once.test.ts
@@ -2,7 +2,7 @@
 import { RunState } from '@figmount/schema'
 
 import { callOnce } from '../rig/callOnce.js'
-import { askMany, askSite, expectWhole, MODEL, runCountsOf, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun, warmUp } from '../rig/smallSite.js'
+import { sendMany, sendToSite, expectAnswered, MODEL, runCountsOf, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun, warmUp } from '../rig/smallSite.js'
 
 import type { CallOutcome } from '../rig/callTypes.js'
 import type { AgentPlan } from '../rig/sitePlan.js'
@@ -55,7 +55,7 @@
   it('when its agent is killed while it runs', async () => {
     site = await startSmallSite('once-kill-agent', { agents: slowAgents() })
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'agent dies', ...ONCE }, 15_000)
+    const asked = sendToSite(site, { prompt: 'agent dies', ...ONCE }, 15_000)
     const agent = site.agent(await waitForRun(site, 'agent dies'))
     await agent.kill()
     await agent.restart()
@@ -68,7 +68,7 @@
   it('when its engine is killed while it runs', async () => {
     site = await startSmallSite('once-kill-engine', { agents: slowAgents() })
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'engine dies', ...ONCE }, 15_000)
+    const asked = sendToSite(site, { prompt: 'engine dies', ...ONCE }, 15_000)
     const engine = site.backend(await waitForRun(site, 'engine dies'))
     await engine.kill()
     await engine.restart()
@@ -82,10 +82,10 @@
   it('when the links to its agent go silent', async () => {
     site = await startSmallSite('once-silent-link', { agents: slowAgents('peer') })
     await warmUp(site)
-    const asked = askMany(site, 6, 'silent', ONCE)
+    const asked = sendMany(site, 6, 'silent', ONCE)
     const holder = await waitForRun(site, 'silent 0')
     await site.proxy(`${holder}-peer`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expect(runCountsOf(site, 'silent')).to.deep.equal(Array(6).fill(1))
   })
 
@@ -93,10 +93,10 @@
   it('when the connection to the engine goes silent', async () => {
     site = await startSmallSite('once-silent-engine', { agents: slowAgents('engine') })
     await warmUp(site)
-    const asked = askMany(site, 6, 'quiet', ONCE)
+    const asked = sendMany(site, 6, 'quiet', ONCE)
     const holder = await waitForRun(site, 'quiet 0')
     await site.proxy(`${holder}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expect(runCountsOf(site, 'quiet')).to.deep.equal(Array(6).fill(1))
   })
 
@@ -112,9 +112,9 @@
     const refused = await sendTo('r1', 'log down', 0)
     expect(refused.refusal?.runState, JSON.stringify(refused)).to.equal(RunState.NOT_RUN)
     expect(runCountsOf(site, 'log down')).to.deep.equal([])
-    const asked = askMany(site, 4, 'outage', { ...ONCE, maxTokens: 5 })
+    const asked = sendMany(site, 4, 'outage', { ...ONCE, maxTokens: 5 })
     await site.log.command({ action: 'outage', on: false })
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expect(runCountsOf(site, 'outage')).to.deep.equal(Array(4).fill(1))
   })
 })
--- a/packages/proof/src/promises/oncePaused.test.ts
+++ b/packages/proof/src/promises/oncePaused.test.ts
@@ -3,7 +3,7 @@
 import { StandinEvent } from '@figmount/standin'
 
 import { callOnce } from '../rig/callOnce.js'
-import { askSite, expectWithinBounds, MODEL, runCountOf, SERVICE, SLOW_TOKENS, startSmallSite, TAKE_OVER_MS, waitForRun, warmUp } from '../rig/smallSite.js'
+import { sendToSite, expectWithinBounds, MODEL, runCountOf, SERVICE, SLOW_TOKENS, startSmallSite, TAKEOVER_TIMEOUT_MS, waitForRun, warmUp } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -27,8 +27,8 @@
     await site.delist(holder)
     const mark = site.rig.events.mark()
     expect((await first).refusal?.runState).to.not.equal(RunState.NOT_RUN)
-    const successor = askSite(site, { prompt: 'wakes the successor' }, TAKE_OVER_MS)
-    await site.rig.events.waitFor(event => event.number === StandinEvent.loadStarted.number && event.instance !== `backend-${holder}`, 'a successor to load', { sinceMark: mark, timeoutMs: TAKE_OVER_MS })
+    const successor = sendToSite(site, { prompt: 'wakes the successor' }, TAKEOVER_TIMEOUT_MS)
+    await site.rig.events.waitFor(event => event.number === StandinEvent.loadStarted.number && event.instance !== `backend-${holder}`, 'a successor to load', { sinceMark: mark, timeoutMs: TAKEOVER_TIMEOUT_MS })
     const again = await callOnce(site.router('r2').address, { ...ONCE, prompt: 'paused', requestKey: 'paused', issuedAtMs, resendCount: 1 })
     expect(again.refusal?.runState).to.be.oneOf([RunState.MAY_HAVE_RUN, RunState.RAN])
     expect((await successor).last.kind).to.equal('answered')
--- a/packages/proof/src/promises/poison.test.ts
+++ b/packages/proof/src/promises/poison.test.ts
@@ -4,7 +4,7 @@
 
 import { callOnce } from '../rig/callOnce.js'
 import { modelService } from '../rig/sitePlan.js'
-import { askMany, askSite, expectWhole, MODEL, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun } from '../rig/smallSite.js'
+import { sendMany, sendToSite, expectAnswered, MODEL, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun } from '../rig/smallSite.js'
 
 import type { RigProcess } from '../rig/types.js'
 import type { Site } from '../rig/createSite.js'
@@ -29,15 +29,15 @@
     let isOver = false
     for (const agent of AGENTS) keepRunning(site.backend(agent.name), () => isOver).catch(() => {})
     try {
-      expectWhole(await askMany(site, 3, 'before'))
-      const bystanders = askMany(site, 8, 'bystander', { maxTokens: 60 })
+      expectAnswered(await sendMany(site, 3, 'before'))
+      const bystanders = sendMany(site, 8, 'bystander', { maxTokens: 60 })
       await waitForRun(site, 'bystander 0')
-      const { last } = await askSite(site, { prompt: `this ${MARKER}` }, 20_000)
+      const { last } = await sendToSite(site, { prompt: `this ${MARKER}` }, 20_000)
       expect(last.kind).to.equal('refused')
       expect(last.refusal?.reason).to.equal(RefusalReason.QUARANTINED)
       const other = await callOnce(site.router('r2').address, { service: SERVICE, model: MODEL, prompt: `this ${MARKER}`, requestKey: 'another' })
       expect(other.refusal?.reason).to.equal(RefusalReason.QUARANTINED)
-      expectWhole(await bystanders)
+      expectAnswered(await bystanders)
       expect(site.rig.events.all().filter(event => event.number === StandinEvent.poisonRun.number)).to.have.length.at.most(2)
     } finally {
       isOver = true
--- a/packages/proof/src/promises/replicaSpread.test.ts
+++ b/packages/proof/src/promises/replicaSpread.test.ts
@@ -3,7 +3,7 @@
 import { decodeRecord, encodeRecord, openLog } from '@figmount/records'
 
 import { modelService } from '../rig/sitePlan.js'
-import { askSite, expectWhole, MODEL, MODEL_ID, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun, waitForSlots, warmUp } from '../rig/smallSite.js'
+import { sendToSite, expectAnswered, MODEL, MODEL_ID, SERVICE, SLOW_TOKENS, startSmallSite, waitForRun, waitForSlots, warmUp } from '../rig/smallSite.js'
 
 import type { Incarnation, InstanceName, LogOffset, ModelId } from '@figmount/base'
 import type { ItemName, LogRecord, PlatformLogCalls } from '@figmount/records'
@@ -74,9 +74,9 @@
     })
     await waitForSlots(site, 2)
     await warmUp(site)
-    const asked = askSite(site, { prompt: 'lost', maxTokens: 100 })
+    const asked = sendToSite(site, { prompt: 'lost', maxTokens: 100 })
     const holder = await waitForRun(site, 'lost')
     await Promise.all([site.agent(holder).kill(), site.backend(holder).kill()])
-    expectWhole([await asked])
+    expectAnswered([await asked])
   })
 })
--- a/packages/proof/src/promises/replicas.test.ts
+++ b/packages/proof/src/promises/replicas.test.ts
@@ -1,7 +1,7 @@
 import { StandinEvent } from '@figmount/standin'
 import { expect } from 'chai'
 
-import { askMany, expectWhole, expectWithinBounds, MODEL_ID, SERVICE, SLOW_STORE, startSmallSite, waitForLoad } from '../rig/smallSite.js'
+import { sendMany, expectAnswered, expectWithinBounds, MODEL_ID, SERVICE, SLOW_STORE, startSmallSite, waitForLoad } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -13,7 +13,7 @@
   // load is slow. If each router chose a backend server of its own, two would load.
   it('when a burst meets a slow load at both routers', async () => {
     site = await startSmallSite('replicas-burst', { weights: SLOW_STORE })
-    expectWhole(await askMany(site, 40, 'burst'))
+    expectAnswered(await sendMany(site, 40, 'burst'))
     expectWithinBounds(site)
     expect(site.rig.events.all().filter(event => event.number === StandinEvent.loadStarted.number)).to.have.length(1)
   })
@@ -23,11 +23,11 @@
   // there would be two.
   it('when the agent is killed in the middle of the load', async () => {
     site = await startSmallSite('replicas-kill-agent', { weights: SLOW_STORE })
-    const asked = askMany(site, 10, 'kill')
+    const asked = sendMany(site, 10, 'kill')
     const holder = site.agent(await waitForLoad(site))
     await holder.kill()
     await holder.restart()
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 
@@ -35,11 +35,11 @@
   // there and nobody else may.
   it('when the engine is killed in the middle of the load', async () => {
     site = await startSmallSite('replicas-kill-engine', { weights: SLOW_STORE })
-    const asked = askMany(site, 10, 'kill')
+    const asked = sendMany(site, 10, 'kill')
     const engine = site.backend(await waitForLoad(site))
     await engine.kill()
     await engine.restart()
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 
@@ -48,7 +48,7 @@
   it('when the log is down during a cold burst', async () => {
     site = await startSmallSite('replicas-log-down')
     await site.log.command({ action: 'outage', on: true })
-    expectWhole(await askMany(site, 20, 'log down'))
+    expectAnswered(await sendMany(site, 20, 'log down'))
     expectWithinBounds(site)
   })
 
@@ -59,10 +59,10 @@
       weights: SLOW_STORE,
       agents: ['a1', 'a2'].map(name => ({ name, services: [SERVICE], proxied: ['engine'] as const }))
     })
-    const asked = askMany(site, 10, 'silent')
+    const asked = sendMany(site, 10, 'silent')
     const holder = await waitForLoad(site)
     await site.proxy(`${holder}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 
@@ -71,10 +71,10 @@
   it('when the weight store refuses the load', async () => {
     site = await startSmallSite('replicas-store', { weights: { loads_per_second: 0.5 } })
     await site.weights.command({ action: 'outage', on: true })
-    const asked = askMany(site, 10, 'store')
+    const asked = sendMany(site, 10, 'store')
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadFailed.number && event.model === MODEL_ID, 'a load to fail')
     await site.weights.command({ action: 'outage', on: false })
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
   })
 })
--- a/packages/proof/src/promises/stopping.test.ts
+++ b/packages/proof/src/promises/stopping.test.ts
@@ -3,7 +3,7 @@
 
 import { callOnce } from '../rig/callOnce.js'
 import { modelService } from '../rig/sitePlan.js'
-import { askMany, expectWhole, expectWithinBounds, MODEL, SERVICE, SLOW_STORE, SLOW_TOKENS, startCaller, startSmallSite, waitForLoad, waitForRun, warmUp } from '../rig/smallSite.js'
+import { sendMany, expectAnswered, expectWithinBounds, MODEL, SERVICE, SLOW_STORE, SLOW_TOKENS, startCaller, startSmallSite, waitForLoad, waitForRun, warmUp } from '../rig/smallSite.js'
 
 import type { AskOutcome } from '../rig/callTypes.js'
 import type { Site } from '../rig/createSite.js'
@@ -23,11 +23,11 @@
   it('of a router', async () => {
     site = await startSmallSite('stop-router', { agents: SLOW_AGENTS })
     await warmUp(site)
-    const asked = askMany(site, 10, 'router', LONG)
+    const asked = sendMany(site, 10, 'router', LONG)
     await waitForRun(site, 'router 0')
     expect((await site.router('r1').stop()).code).to.equal(0)
     const outcomes = await asked
-    expectWhole(outcomes)
+    expectAnswered(outcomes)
     expect(cutAmong(outcomes)).to.deep.equal([])
   })
 
@@ -35,25 +35,25 @@
   it('of an agent', async () => {
     site = await startSmallSite('stop-agent', { agents: SLOW_AGENTS, items: [modelService(SERVICE, [{ name: MODEL, maxReplicas: 2 }])] })
     await warmUp(site)
-    const asked = askMany(site, 10, 'agent', LONG)
+    const asked = sendMany(site, 10, 'agent', LONG)
     const holder = await waitForRun(site, 'agent 0')
     expect((await site.agent(holder).stop()).code).to.equal(0)
     const outcomes = await asked
-    expectWhole(outcomes)
+    expectAnswered(outcomes)
     expect(cutAmong(outcomes)).to.deep.equal([])
   })
 
   // An agent is told to stop in the middle of a load, with callers waiting; the only replica has to move.
   it('of an agent in the middle of a load', async () => {
     site = await startSmallSite('stop-loading', { weights: SLOW_STORE })
-    const asked = askMany(site, 6, 'loading')
+    const asked = sendMany(site, 6, 'loading')
     const holder = await waitForLoad(site)
     await site.list.command({ action: 'leaving', name: holder })
     expect((await site.agent(holder).stop()).code).to.equal(0)
     await site.backend(holder).stop()
     await site.delist(holder)
     const outcomes = await asked
-    expectWhole(outcomes)
+    expectAnswered(outcomes)
     expect(cutAmong(outcomes)).to.deep.equal([])
     expectWithinBounds(site)
   })
@@ -68,7 +68,7 @@
       expect((await site.router(name).stop()).code).to.equal(0)
       await site.router(name).restart()
     }
-    expectWhole((await Promise.all(callers.map(async caller => await caller.stop()))).flat())
+    expectAnswered((await Promise.all(callers.map(async caller => await caller.stop()))).flat())
   })
 
   // A router is told to stop while the log is down.
--- a/packages/proof/src/promises/takeOverLost.test.ts
+++ b/packages/proof/src/promises/takeOverLost.test.ts
@@ -1,7 +1,7 @@
 import { StandinEvent } from '@figmount/standin'
 import { expect } from 'chai'
 
-import { askMany, expectWhole, expectWithinBounds, SLOW_STORE, startSmallSite, TAKE_OVER_MS, waitForLoad } from '../rig/smallSite.js'
+import { sendMany, expectAnswered, expectWithinBounds, SLOW_STORE, startSmallSite, TAKEOVER_TIMEOUT_MS, waitForLoad } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -15,11 +15,11 @@
   // the platform takes it off its list. Another agent must take over, after the wait, alone.
   it('when the instance is lost in the middle of the load', async () => {
     site = await startSmallSite('replicas-lose-instance', { weights: SLOW_STORE })
-    const asked = askMany(site, 10, 'lost', {}, TAKE_OVER_MS)
+    const asked = sendMany(site, 10, 'lost', {}, TAKEOVER_TIMEOUT_MS)
     const lost = await waitForLoad(site)
     await Promise.all([site.agent(lost).kill(), site.backend(lost).kill()])
     await site.delist(lost)
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
     expect(site.rig.events.all().filter(event => event.number === StandinEvent.loadFinished.number).map(event => event.instance))
       .to.deep.equal([`backend-${otherAgent(lost)}`])
@@ -29,12 +29,12 @@
   // repeats a lost append must not be granted twice.
   it('when answers of the log are lost during a take-over', async () => {
     site = await startSmallSite('replicas-lost-answers', { weights: SLOW_STORE })
-    const asked = askMany(site, 6, 'lost answers', {}, TAKE_OVER_MS)
+    const asked = sendMany(site, 6, 'lost answers', {}, TAKEOVER_TIMEOUT_MS)
     const lost = await waitForLoad(site)
     await site.log.command({ action: 'lose', count: 4 })
     await Promise.all([site.agent(lost).kill(), site.backend(lost).kill()])
     await site.delist(lost)
-    expectWhole(await asked)
+    expectAnswered(await asked)
     expectWithinBounds(site)
     expect(site.rig.events.all().some(event => event.number === StandinEvent.answerLost.number)).to.equal(true)
   })
--- a/packages/proof/src/promises/takeOverPaused.test.ts
+++ b/packages/proof/src/promises/takeOverPaused.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 
-import { askMany, expectWhole, expectWithinBounds, SERVICE, startSmallSite, TAKE_OVER_MS, waitForLoad } from '../rig/smallSite.js'
+import { sendMany, expectAnswered, expectWithinBounds, SERVICE, startSmallSite, TAKEOVER_TIMEOUT_MS, waitForLoad } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -12,7 +12,7 @@
     site = await startSmallSite(name, {
       agents: ['a1', 'a2'].map(agent => ({ name: agent, services: [SERVICE], backendKeys: { enforces_fence: enforcesFence } }))
     })
-    expectWhole(await askMany(site, 2, 'first'))
+    expectAnswered(await sendMany(site, 2, 'first'))
     const holder = await waitForLoad(site)
     site.agent(holder).pause()
     await site.delist(holder)
@@ -29,9 +29,9 @@
   // engine has given it up, and the holder that wakes must not load again.
   it('and another takes over', async () => {
     const holder = await pauseHolder('take-over-paused', true)
-    expectWhole(await askMany(site, 6, 'meanwhile', {}, TAKE_OVER_MS))
+    expectAnswered(await sendMany(site, 6, 'meanwhile', {}, TAKEOVER_TIMEOUT_MS))
     await wake(holder)
-    expectWhole(await askMany(site, 6, 'after'))
+    expectAnswered(await sendMany(site, 6, 'after'))
     expectWithinBounds(site)
   })
 
@@ -40,12 +40,12 @@
   // and is listed again.
   it('and nobody takes over from an engine that ignores fences', async () => {
     const holder = await pauseHolder('take-over-no-fence', false)
-    const refused = await askMany(site, 6, 'meanwhile', {}, 1)
+    const refused = await sendMany(site, 6, 'meanwhile', {}, 1)
     expect(refused.map(({ last }) => last.kind)).to.deep.equal(Array(6).fill('refused'))
     expect(refused.filter(({ last }) => (last.refusal?.retryAfterMs ?? 0) === 0)).to.deep.equal([])
     await wake(holder)
     await site.relist(holder)
-    expectWhole(await askMany(site, 6, 'after'))
+    expectAnswered(await sendMany(site, 6, 'after'))
     expectWithinBounds(site)
   })
 })
--- a/packages/proof/src/promises/waiting.test.ts
+++ b/packages/proof/src/promises/waiting.test.ts
@@ -3,7 +3,7 @@
 import { StandinEvent } from '@figmount/standin'
 
 import { callOnce } from '../rig/callOnce.js'
-import { askMany, expectWhole, MODEL, SERVICE, SLOW_STORE, startSmallSite, waitForInstances, waitForLoad, warmUp } from '../rig/smallSite.js'
+import { sendMany, expectAnswered, MODEL, SERVICE, SLOW_STORE, startSmallSite, waitForInstances, waitForLoad, warmUp } from '../rig/smallSite.js'
 
 import type { Site } from '../rig/createSite.js'
 
@@ -18,21 +18,21 @@
   // request again with the same key to the other router and is served there.
   it('when its router is killed', async () => {
     site = await startSmallSite('waiting-kill-router', { weights: SLOW_STORE })
-    const asked = askMany(site, 10, 'router')
+    const asked = sendMany(site, 10, 'router')
     await waitForLoad(site)
     await site.router('r1').kill()
-    expectWhole(await asked)
+    expectAnswered(await asked)
   })
 
   // The connections from the routers to the agent go silent for good while requests wait there. New
   // connections work; without a heartbeat the callers would wait until their deadline.
   it('when the link to its agent goes silent', async () => {
     site = await startSmallSite('waiting-silent-link', { weights: SLOW_STORE, agents: proxiedAgents('peer') })
-    const asked = askMany(site, 10, 'link')
+    const asked = sendMany(site, 10, 'link')
     const holder = await waitForLoad(site)
     await site.proxy(`${holder}-peer`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
     const outcomes = await asked
-    expectWhole(outcomes)
+    expectAnswered(outcomes)
     expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
   })
 
@@ -49,8 +49,8 @@
         }
       }
       site = await startSmallSite(`waiting-late-${lateMs}`, { agents: proxiedAgents('log'), prepare: delayLog })
-      const outcomes = await askMany(site, 10, 'late')
-      expectWhole(outcomes)
+      const outcomes = await sendMany(site, 10, 'late')
+      expectAnswered(outcomes)
       expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
     })
   }
@@ -58,12 +58,12 @@
   // The agent is paused for some seconds while requests wait in its queue.
   it('when its agent is paused for a while', async () => {
     site = await startSmallSite('waiting-pause', { weights: SLOW_STORE })
-    const asked = askMany(site, 10, 'pause')
+    const asked = sendMany(site, 10, 'pause')
     const holder = site.agent(await waitForLoad(site))
     holder.pause()
     await site.rig.events.waitFor(event => event.name === 'linkClosed' && event.peer === holder.address, 'a router to give up the link')
     holder.resume()
-    expectWhole(await asked)
+    expectAnswered(await asked)
   })
 
   // The weight store is down, so a cold model cannot be loaded. Each caller must hear a refusal with a
@@ -74,9 +74,9 @@
     const refused = await callOnce(site.router('r1').address, { service: SERVICE, model: MODEL, prompt: 'store', requestKey: 'w-1', deadlineMs: 4000 })
     expect(refused.kind).to.equal('refused')
     expect(refused.refusal?.retryAfterMs).to.be.greaterThan(0)
-    const asked = askMany(site, 4, 'store back')
+    const asked = sendMany(site, 4, 'store back')
     await site.weights.command({ action: 'outage', on: false })
-    expectWhole(await asked)
+    expectAnswered(await asked)
   })
 
   // Log, instance list and weight store are all out of reach while a model is warm. Nothing that is
@@ -85,7 +85,7 @@
     site = await startSmallSite('waiting-platform')
     await warmUp(site)
     for (const platform of [site.log, site.list, site.weights]) await platform.command({ action: 'outage', on: true })
-    expectWhole(await askMany(site, 20, 'platform down'))
+    expectAnswered(await sendMany(site, 20, 'platform down'))
   })
 
   // A request that cannot be answered before its deadline is refused as soon as that is known.
@@ -101,8 +101,8 @@
   // nobody loaded the model meanwhile, they would be refused for ever.
   it('when deadlines are shorter than a cold start', async () => {
     site = await startSmallSite('waiting-short', { weights: SLOW_STORE })
-    const outcomes = await askMany(site, 4, 'short', { deadlineMs: 1500 })
-    expectWhole(outcomes)
+    const outcomes = await sendMany(site, 4, 'short', { deadlineMs: 1500 })
+    expectAnswered(outcomes)
     expect(outcomes.every(outcome => outcome.sends.length > 1)).to.equal(true)
   })
 
@@ -110,9 +110,9 @@
   // at the other router.
   it('when router and log fail together', async () => {
     site = await startSmallSite('waiting-two', { weights: SLOW_STORE })
-    const asked = askMany(site, 10, 'two at once')
+    const asked = sendMany(site, 10, 'two at once')
     await waitForLoad(site)
     await Promise.all([site.router('r2').kill(), site.log.command({ action: 'outage', on: true })])
-    expectWhole(await asked)
+    expectAnswered(await asked)
   })
 })
--- a/packages/proof/src/rig/callOnce.ts
+++ b/packages/proof/src/rig/callOnce.ts
@@ -9,8 +9,8 @@
 
 const timers = createTimerService()
 
-/** What has been read of an answer so far. */
-interface AnswerRead {
+/** The part of an answer that has been received so far. */
+interface AnswerSoFar {
   readonly tokens: readonly string[]
   readonly frameCount: number
   readonly final?: Final
@@ -18,32 +18,32 @@
   readonly faults: readonly string[]
 }
 
-const EMPTY_READ: AnswerRead = { tokens: [], frameCount: 0, faults: [] }
+const EMPTY_READ: AnswerSoFar = { tokens: [], frameCount: 0, faults: [] }
 
-const withFault = (read: AnswerRead, fault: string): AnswerRead => ({ ...read, faults: [...read.faults, fault] })
+const withFault = (read: AnswerSoFar, fault: string): AnswerSoFar => ({ ...read, faults: [...read.faults, fault] })
 
-const checkFrame = (read: AnswerRead, frame: AnswerFrame): AnswerRead => {
-  if (read.final || read.refusal) return withFault(read, `frame ${frame.number} came after the last one`)
-  if (frame.number !== read.frameCount) return withFault(read, `frame ${frame.number} came in place of ${read.frameCount}`)
+const checkFrame = (read: AnswerSoFar, frame: AnswerFrame): AnswerSoFar => {
+  if (read.final || read.refusal) return withFault(read, `frame ${frame.number} arrived after the final one`)
+  if (frame.number !== read.frameCount) return withFault(read, `received frame ${frame.number} instead of ${read.frameCount}`)
   return read
 }
 
-const readFrame = (read: AnswerRead, frame: AnswerFrame): AnswerRead => {
+const readFrame = (read: AnswerSoFar, frame: AnswerFrame): AnswerSoFar => {
   const next = { ...checkFrame(read, frame), frameCount: read.frameCount + 1 }
   if (frame.body.case === 'tokens') {
     const { firstTokenIndex, tokens } = frame.body.value
-    const checked = firstTokenIndex === read.tokens.length ? next : withFault(next, `token ${firstTokenIndex} came in place of ${read.tokens.length}`)
+    const checked = firstTokenIndex === read.tokens.length ? next : withFault(next, `received token ${firstTokenIndex} instead of ${read.tokens.length}`)
     return { ...checked, tokens: [...read.tokens, ...tokens] }
   }
   if (frame.body.case === 'refusal') return { ...next, refusal: frame.body.value }
   if (frame.body.case !== 'final') return next
   const final = frame.body.value
-  const counted = final.frameCount === next.frameCount ? next : withFault(next, `${final.frameCount} frames were announced, ${next.frameCount} came`)
-  const whole = final.tokenCount === read.tokens.length ? counted : withFault(counted, `${final.tokenCount} tokens were announced, ${read.tokens.length} came`)
+  const counted = final.frameCount === next.frameCount ? next : withFault(next, `the final frame announces ${final.frameCount} frames, ${next.frameCount} arrived`)
+  const whole = final.tokenCount === read.tokens.length ? counted : withFault(counted, `the final frame announces ${final.tokenCount} tokens, ${read.tokens.length} arrived`)
   return { ...whole, final }
 }
 
-/** The message of one send. */
+/** Builds the request message of one send. */
 export const makeRequest = (plan: AskPlan & { readonly requestKey: string }): object => ({
   requestKey: plan.requestKey,
   issuedAtMs: BigInt(plan.issuedAtMs ?? timers.unixMs()),
@@ -59,7 +59,7 @@
   resendCount: plan.resendCount ?? 0
 })
 
-/** Sends a request once and reads its answer to the end, checking every frame. */
+/** Sends a request once, reads its answer to the end and checks every frame. */
 export const callOnce = async (address: string, plan: AskPlan & { readonly requestKey: string }, signal?: AbortSignal): Promise<CallOutcome> => {
   const transport = createTransport({ address, bearerKey: callerKey(plan.caller ?? DEFAULT_CALLER) })
   const startedMs = timers.nowMs()
--- a/packages/proof/src/rig/callTypes.ts
+++ b/packages/proof/src/rig/callTypes.ts
@@ -1,6 +1,6 @@
 import type { Final, Refusal } from '@figmount/schema'
 
-/** A request as a test states it; what is left out gets the defaults of `makeRequest`. */
+/** A test's request; `makeRequest` fills in the defaults. */
 export interface AskPlan {
   readonly service: string
   readonly model: string
@@ -17,7 +17,7 @@
   readonly issuedAtMs?: number
 }
 
-/** What one send of a request came to. `broken`: the connection ended without a last frame. */
+/** Result of one send. `broken`: the connection ended before a final frame or a refusal. */
 export interface CallOutcome {
   readonly kind: 'answered' | 'refused' | 'broken'
   readonly tokens: readonly string[]
@@ -26,14 +26,14 @@
   readonly error?: string
   readonly firstTokenMs: number
   readonly totalMs: number
-  /** Broken rules of the answer: gaps, repeats, frames after the last one, wrong counts. */
+  /** Protocol violations in the answer: gaps, repeats, frames after the final one, wrong counts. */
   readonly faults: readonly string[]
 }
 
-/** What all sends of one request came to. */
+/** Result of a request over all its sends. */
 export interface AskOutcome {
   readonly plan: AskPlan & { readonly requestKey: string }
-  /** The last send's outcome, whose answer the caller keeps. */
+  /** Result of the last send, which is the result of the request. */
   readonly last: CallOutcome
   readonly sends: readonly CallOutcome[]
   readonly totalMs: number
--- a/packages/proof/src/rig/createEventStore.ts
+++ b/packages/proof/src/rig/createEventStore.ts
@@ -1,6 +1,6 @@
 import { createWriteStream } from 'node:fs'
 
-import { WAIT_MS } from './constants.js'
+import { WAIT_TIMEOUT_MS } from './constants.js'
 
 import type { EventRecord, TimerService } from '@figmount/base'
 import type { EventMatch, EventStore, WaitOptions } from './types.js'
@@ -10,7 +10,7 @@
   readonly resolve: (event: EventRecord) => void
 }
 
-/** Keeps events in memory and writes them to one file, one JSON object a line. */
+/** Stores events in memory and appends them to a file as JSON lines. */
 export const createEventStore = (file: string, timers: TimerService): EventStore => {
   const events: EventRecord[] = []
   const waiters = new Set<Waiter>()
@@ -26,9 +26,9 @@
     }
   }
 
-  const waitFor = async (match: EventMatch, what: string, { sinceMark = 0, timeoutMs = WAIT_MS }: WaitOptions = {}): Promise<EventRecord> => {
-    const known = events.slice(sinceMark).find(match)
-    if (known) return known
+  const waitFor = async (match: EventMatch, what: string, { sinceMark = 0, timeoutMs = WAIT_TIMEOUT_MS }: WaitOptions = {}): Promise<EventRecord> => {
+    const found = events.slice(sinceMark).find(match)
+    if (found) return found
     return await new Promise((resolve, reject) => {
       const waiter: Waiter = {
         match,
@@ -39,7 +39,7 @@
       }
       const cancel = timers.after(timeoutMs, () => {
         waiters.delete(waiter)
-        reject(new Error(`waited ${timeoutMs} ms in vain for: ${what} (events in ${file})`))
+        reject(new Error(`timed out after ${timeoutMs} ms waiting for: ${what} (events in ${file})`))
       })
       waiters.add(waiter)
     })
--- a/packages/proof/src/rig/createRig.ts
+++ b/packages/proof/src/rig/createRig.ts
@@ -3,24 +3,24 @@
 import { join } from 'node:path'
 import { createTimerService, sleep } from '@figmount/base'
 
-import { END_MS, POLL_MS, WAIT_MS } from './constants.js'
+import { STOP_TIMEOUT_MS, POLL_MS, WAIT_TIMEOUT_MS } from './constants.js'
 import { createEventStore } from './createEventStore.js'
 import { startProcess } from './startProcess.js'
 
 import type { ProcessPlan, Rig, RigProcess } from './types.js'
 
-/** Set to keep the settings files and the events of a run. */
+/** When this variable is set, the settings files and events of a run are not deleted. */
 const KEEP_VARIABLE = 'FIGMOUNT_KEEP'
 
-/** Makes a rig with a temporary folder of its own. */
+/** Creates a rig with its own temporary folder. */
 export const createRig = (name: string): Rig => {
   const timers = createTimerService()
   const folder = mkdtempSync(join(tmpdir(), `figmount-${name}-`))
   const events = createEventStore(join(folder, 'events.jsonl'), timers)
   const processes: RigProcess[] = []
 
-  // Guards against processes that outlive a test run which was ended in the middle:
-  // they would hold ports and processor time for good.
+  // Without this, processes would outlive an interrupted test run and occupy ports and
+  // processor time indefinitely.
   const killAll = (): void => {
     for (const running of processes) {
       if (running.isRunning()) process.kill(running.pid(), 'SIGKILL')
@@ -28,10 +28,10 @@
   }
   process.once('exit', killAll)
 
-  const end = async (running: RigProcess): Promise<void> => {
+  const stopProcess = async (running: RigProcess): Promise<void> => {
     if (!running.isRunning()) return
     running.resume()
-    const cancel = timers.after(END_MS, () => { running.kill() })
+    const cancel = timers.after(STOP_TIMEOUT_MS, () => { running.kill() })
     await running.stop()
     cancel()
   }
@@ -45,15 +45,15 @@
       return started
     },
     processes: () => processes,
-    until: async (what, check, timeoutMs = WAIT_MS) => {
+    until: async (what, check, timeoutMs = WAIT_TIMEOUT_MS) => {
       const deadlineMs = timers.nowMs() + timeoutMs
       while (!await check()) {
-        if (timers.nowMs() > deadlineMs) throw new Error(`waited ${timeoutMs} ms in vain for: ${what} (events in ${folder})`)
+        if (timers.nowMs() > deadlineMs) throw new Error(`timed out after ${timeoutMs} ms waiting for: ${what} (events in ${folder})`)
         await sleep(timers, POLL_MS)
       }
     },
     close: async () => {
-      await Promise.all(processes.map(end))
+      await Promise.all(processes.map(stopProcess))
       process.removeListener('exit', killAll)
       events.close()
       if (!process.env[KEEP_VARIABLE]) rmSync(folder, { recursive: true, force: true })
--- a/packages/proof/src/rig/createSite.ts
+++ b/packages/proof/src/rig/createSite.ts
@@ -7,7 +7,7 @@
 import type { AgentPlan, ConfigChange, RouterPlan, SitePlan } from './sitePlan.js'
 import type { IniSections, Rig, RigProcess } from './types.js'
 
-/** A running site. */
+/** A running deployment: the platform's stand-ins, backend servers, agents and routers. */
 export interface Site {
   readonly rig: Rig
   readonly log: RigProcess
@@ -22,12 +22,12 @@
   readonly routerAddresses: () => readonly string[]
   readonly addAgent: (plan: AgentPlan) => Promise<void>
   readonly addRouter: (plan: RouterPlan) => Promise<void>
-  /** Takes an instance off the platform's list. */
+  /** Removes an instance from the platform's instance list. */
   readonly delist: (name: string) => Promise<void>
-  /** Puts an instance that was taken off back on the list. */
+  /** Adds a removed instance to the list again. */
   readonly relist: (name: string) => Promise<void>
   readonly apply: (changes: readonly ConfigChange[]) => Promise<void>
-  /** Ends all processes and fails if their events show a broken promise. */
+  /** Ends all processes and fails if their events show a violated guarantee. */
   readonly close: () => Promise<void>
 }
 
@@ -35,22 +35,22 @@
 
 export const OPERATOR_KEY = 'operator-key'
 
-/** The agent reads the list often, so that a test need not wait for it. */
-const LIST_MS = 250
+/** Agents poll the instance list at this short period, so that tests need not wait for it. */
+const LIST_POLL_MS = 250
 
 const DEFAULT_DATA_CENTRE = 'aa-1'
 
-const lookUp = (processes: ReadonlyMap<string, RigProcess>, name: string): RigProcess => {
+const findProcess = (processes: ReadonlyMap<string, RigProcess>, name: string): RigProcess => {
   const found = processes.get(name)
   if (!found) throw new Error(`the site has no ${name}: ${[...processes.keys()].join(' ')}`)
   return found
 }
 
-/** Starts a site: the platform's stand-ins, then backend servers with agents, then routers. */
+/** Starts a site: the platform's stand-ins first, then backend servers with their agents, then routers. */
 export const createSite = async (plan: SitePlan): Promise<Site> => {
   const rig = createRig(plan.name)
   const processes = new Map<string, RigProcess>()
-  const listings = new Map<string, object>()
+  const listEntries = new Map<string, object>()
 
   const startStandin = async (name: string, standin: IniSections[string]): Promise<RigProcess> => {
     const started = await rig.start({ name, binary: 'figmount-standin', sections: { process: { instance: name }, standin } })
@@ -61,27 +61,27 @@
   const startProxy = async (name: string, target: string): Promise<string> =>
     (await startStandin(`proxy-${name}`, { kind: 'proxy', target })).address
 
-  /** The address to use for a connection: its target, or a proxy before it. */
-  const through = async (wanted: boolean, name: string, target: string): Promise<string> =>
-    wanted ? await startProxy(name, target) : target
+  /** Address to connect to: the target itself, or a new proxy in front of it. */
+  const proxiedAddress = async (isProxied: boolean, name: string, target: string): Promise<string> =>
+    isProxied ? await startProxy(name, target) : target
 
   const platformSections = async (name: string, proxied: readonly string[]): Promise<IniSections> => ({
     platform: {
-      log: await through(proxied.includes('log'), `${name}-log`, log.address),
-      instance_list: await through(proxied.includes('list'), `${name}-list`, list.address)
+      log: await proxiedAddress(proxied.includes('log'), `${name}-log`, log.address),
+      instance_list: await proxiedAddress(proxied.includes('list'), `${name}-list`, list.address)
     }
   })
 
-  const enlist = async (name: string, role: 'router' | 'agent', dataCentre: string, peerAddress: string, backendAddress = ''): Promise<void> => {
+  const addToInstanceList = async (name: string, role: 'router' | 'agent', dataCentre: string, peerAddress: string, backendAddress = ''): Promise<void> => {
     const command = { action: 'set', instance: { name, role, dataCentre, peerAddress, backendAddress } }
-    listings.set(name, command)
+    listEntries.set(name, command)
     await list.command(command)
   }
 
   const addAgent = async ({ name, services, dataCentre = DEFAULT_DATA_CENTRE, backend = 'engine', backendKeys = {}, proxied = [], sections = {} }: AgentPlan): Promise<void> => {
     const store: IniSections[string] = backend === 'engine' ? { weight_store: weights.address } : {}
     const server = await startStandin(`backend-${name}`, { kind: backend, ...store, ...backendKeys })
-    const address = await through(proxied.includes('engine'), `${name}-engine`, server.address)
+    const address = await proxiedAddress(proxied.includes('engine'), `${name}-engine`, server.address)
     const agent = await rig.start({
       name,
       binary: 'figmount-agent',
@@ -90,12 +90,12 @@
         ...await platformSections(name, proxied),
         trust: { shared_key: SHARED_KEY },
         backend: { kind: backend, address, services: services.join(',') },
-        tuning: { list_ms: LIST_MS },
+        tuning: { list_ms: LIST_POLL_MS },
         ...sections
       }
     })
     processes.set(name, agent)
-    await enlist(name, 'agent', dataCentre, await through(proxied.includes('peer'), `${name}-peer`, agent.address), server.address)
+    await addToInstanceList(name, 'agent', dataCentre, await proxiedAddress(proxied.includes('peer'), `${name}-peer`, agent.address), server.address)
   }
 
   const addRouter = async ({ name, dataCentre = DEFAULT_DATA_CENTRE, proxied = [], sections = {} }: RouterPlan): Promise<void> => {
@@ -110,7 +110,7 @@
       }
     })
     processes.set(name, router)
-    await enlist(name, 'router', dataCentre, await through(proxied.includes('peer'), `${name}-peer`, router.address))
+    await addToInstanceList(name, 'router', dataCentre, await proxiedAddress(proxied.includes('peer'), `${name}-peer`, router.address))
   }
 
   const startPlatform = async (): Promise<readonly [RigProcess, RigProcess, RigProcess]> => await Promise.all([
@@ -119,9 +119,9 @@
     startStandin('weights', { kind: 'weights', ...plan.weights })
   ])
 
-  const routers = (): readonly RigProcess[] => plan.routers.map(router => lookUp(processes, router.name))
+  const routers = (): readonly RigProcess[] => plan.routers.map(router => findProcess(processes, router.name))
 
-  const closeAfter = async <T>(work: Promise<T>): Promise<T> => {
+  const closeOnError = async <T>(work: Promise<T>): Promise<T> => {
     try {
       return await work
     } catch (error) {
@@ -130,29 +130,29 @@
     }
   }
 
-  const [log, list, weights] = await closeAfter(startPlatform())
-  await closeAfter(Promise.all(plan.agents.map(addAgent)))
-  await closeAfter(Promise.all(plan.routers.map(addRouter)))
+  const [log, list, weights] = await closeOnError(startPlatform())
+  await closeOnError(Promise.all(plan.agents.map(addAgent)))
+  await closeOnError(Promise.all(plan.routers.map(addRouter)))
 
   return {
     rig,
     log,
     list,
     weights,
-    router: name => lookUp(processes, name),
-    agent: name => lookUp(processes, name),
-    backend: name => lookUp(processes, `backend-${name}`),
-    proxy: name => lookUp(processes, `proxy-${name}`),
+    router: name => findProcess(processes, name),
+    agent: name => findProcess(processes, name),
+    backend: name => findProcess(processes, `backend-${name}`),
+    proxy: name => findProcess(processes, `proxy-${name}`),
     routerAddresses: () => routers().filter(router => router.isRunning()).map(router => router.address),
     addAgent,
     addRouter,
     delist: async name => { await list.command({ action: 'remove', name }) },
-    relist: async name => { await list.command(listings.get(name) ?? {}) },
+    relist: async name => { await list.command(listEntries.get(name) ?? {}) },
     apply: async changes => await applyChanges(rig, routers()[0]?.address ?? '', OPERATOR_KEY, changes),
     close: async () => {
       await rig.close()
       const broken = judgeRun(rig.events.all())
-      if (broken.length > 0) throw new Error(`the events of ${plan.name} show: ${broken.join('; ')}`)
+      if (broken.length > 0) throw new Error(`the events of ${plan.name} show violated guarantees: ${broken.join('; ')}`)
     }
   }
 }
--- a/packages/proof/src/rig/operate.ts
+++ b/packages/proof/src/rig/operate.ts
@@ -8,34 +8,34 @@
 import type { ConfigChange } from './sitePlan.js'
 import type { Rig } from './types.js'
 
-/** The caller that tests use unless they name others; its key is its name with `-key`. */
+/** The caller that tests use by default; its key is its name followed by `-key`. */
 export const DEFAULT_CALLER = 'crew'
 
 export const callerKey = (caller: string): string => `${caller}-key`
 
-/** A configured caller whose key `callerKey` gives. */
+/** Configuration item of a caller with the key from `callerKey`. */
 export const callerItem = (caller: string, kind = 'field', share = 1): ConfigChange =>
   ({ name: `caller/${caller}`, body: { kind, keySha256: hashKey(callerKey(caller)), share } })
 
-/** An operator's client of one router. */
+/** Operator API client for one router. */
 export const operatorAt = (address: string, operatorKey: string): Client<typeof Operator> =>
   createClient(Operator, createTransport({ address, bearerKey: operatorKey }))
 
-/** Applies new items and waits until they are accepted. Items of other versions: `applyAt`. */
+/** Applies new items, which must not exist yet (expected version 0), and waits until they are accepted. */
 export const applyChanges = async (rig: Rig, address: string, operatorKey: string, changes: readonly ConfigChange[]): Promise<void> => {
   const operator = operatorAt(address, operatorKey)
   let last = ''
-  const tryOnce = async (): Promise<boolean> => {
+  const tryApply = async (): Promise<boolean> => {
     const items = changes.map(change => ({ name: change.name, bodyJson: JSON.stringify(change.body), expectedVersion: 0n }))
     const response: ApplyResponse | Error = await operator.apply({ items, changeId: randomUUID() }).catch((error: Error) => error)
     last = response instanceof Error ? response.message : response.outcomes.filter(outcome => !outcome.accepted).map(outcome => `${outcome.name}: ${outcome.detail}`).join('; ')
     if (response instanceof Error) return false
-    // A change whose answer was lost before stands already; the body tells.
+    // If the response to an earlier try was lost, the item already exists at version 1.
     return response.outcomes.every(outcome => outcome.accepted || outcome.current?.version === 1n)
   }
-  await rig.until('the configuration to be accepted', tryOnce).catch((error: Error) => { throw new Error(`${error.message}: ${last}`) })
+  await rig.until('the configuration to be accepted', tryApply).catch((error: Error) => { throw new Error(`${error.message}: ${last}`) })
 }
 
-/** Status as a router sees it, undefined while it does not answer. */
+/** Status from one router; undefined while the router does not answer. */
 export const statusAt = async (address: string, operatorKey: string): Promise<StatusResponse | undefined> =>
   await operatorAt(address, operatorKey).status({}).catch(() => undefined)
--- a/packages/proof/src/rig/rig.test.ts
+++ b/packages/proof/src/rig/rig.test.ts
@@ -37,7 +37,7 @@
     expect((await log.dump()).headOffset).to.equal(1)
   })
 
-  it('says why a process did not start', async () => {
+  it('reports why a process did not start', async () => {
     const started = rig.start({ name: 'odd', binary: 'figmount-standin', sections: { process: { instance: 'odd' }, standin: { kind: 'odd' } } })
     expect(await started.then(() => '', (error: Error) => error.message)).to.contain('[standin] kind')
   })
--- a/packages/proof/src/rig/sitePlan.ts
+++ b/packages/proof/src/rig/sitePlan.ts
@@ -1,42 +1,42 @@
 import type { IniSections } from './types.js'
 
-type Keys = Readonly<Record<string, string | number | boolean>>
+type StandinKeys = Readonly<Record<string, string | number | boolean>>
 
-/** One entry instance. */
+/** One router instance. */
 export interface RouterPlan {
   readonly name: string
   readonly dataCentre?: string
-  /** Connections that get a proxy: from this router to the log or the list, or from peers to this router. */
+  /** Connections that go through a proxy: from this router to the log or the list, or from peers to this router. */
   readonly proxied?: ReadonlyArray<'log' | 'list' | 'peer'>
-  /** Further sections of its settings. */
+  /** Additional sections of its settings file. */
   readonly sections?: IniSections
 }
 
-/** One backend server with the agent beside it. */
+/** One backend server and its agent. */
 export interface AgentPlan {
   readonly name: string
   readonly dataCentre?: string
   readonly services: readonly string[]
   readonly backend?: 'engine' | 'plain'
-  /** `[standin]` keys of the backend server. */
-  readonly backendKeys?: Keys
-  /** Connections that get a proxy: from this agent to its engine, the log or the list, or from peers to this agent. */
+  /** `[standin]` settings of the backend server. */
+  readonly backendKeys?: StandinKeys
+  /** Connections that go through a proxy: from this agent to its engine, the log or the list, or from peers to this agent. */
   readonly proxied?: ReadonlyArray<'engine' | 'log' | 'list' | 'peer'>
   readonly sections?: IniSections
 }
 
-/** Everything that a site consists of. */
+/** Everything that runs in a site. */
 export interface SitePlan {
   readonly name: string
   readonly routers: readonly RouterPlan[]
   readonly agents: readonly AgentPlan[]
-  /** `[standin]` keys of the platform's three services. */
-  readonly log?: Keys
-  readonly list?: Keys
-  readonly weights?: Keys
+  /** `[standin]` settings of the platform's log, instance list and weight store. */
+  readonly log?: StandinKeys
+  readonly list?: StandinKeys
+  readonly weights?: StandinKeys
 }
 
-/** One item of the configuration as an operator applies it. */
+/** One configuration item, as an operator applies it. */
 export interface ConfigChange {
   readonly name: string
   readonly body: object
@@ -53,7 +53,7 @@
   readonly currentVersion?: string
 }
 
-/** A service of models with small figures, so that a cold start takes well under a second. */
+/** A service of models with small sizes, so that a cold start takes well under a second. */
 export const modelService = (name: string, models: readonly ModelPlan[], priorities: Readonly<Record<string, number>> = {}): ConfigChange => ({
   name: `service/${name}`,
   body: {
--- a/packages/proof/src/rig/startProcess.ts
+++ b/packages/proof/src/rig/startProcess.ts
@@ -3,7 +3,7 @@
 import { createInterface } from 'node:readline'
 import { BaseEvent, ExitCode, sleep } from '@figmount/base'
 
-import { RESTART_TRIES, RESTART_WAIT_MS, START_MS } from './constants.js'
+import { RESTART_TRIES, RESTART_WAIT_MS, START_TIMEOUT_MS } from './constants.js'
 import { RigEvent } from './events.js'
 import { withPort, writeIni } from './writeIni.js'
 
@@ -11,14 +11,14 @@
 import type { EventFields, EventKind, EventRecord, InstanceName, TimerService } from '@figmount/base'
 import type { EventStore, ExitReport, IniSections, ProcessPlan, RigProcess } from './types.js'
 
-interface Parts {
+interface ProcessContext {
   readonly folder: string
   readonly events: EventStore
   readonly timers: TimerService
 }
 
-/** One run of a process from start to end. */
-interface Run {
+/** One run of a process, from spawn to exit. */
+interface ProcessRun {
   readonly child: ChildProcess
   readonly ended: Promise<ExitReport>
   readonly address: string
@@ -26,8 +26,8 @@
 
 const DIST = join(import.meta.dirname, '../../../../dist')
 
-/** Last part of what a process wrote to standard error that is kept. */
-const KEPT_ERROR_CHARACTERS = 8000
+/** Only the last part of standard error is stored. */
+const MAX_STDERR_CHARACTERS = 8000
 
 const parseEvent = (line: string): EventRecord | undefined => {
   try {
@@ -45,13 +45,13 @@
   return result
 }
 
-/** A process that ended before it listened. */
-class StartFault extends Error {
+/** The process exited before it listened. */
+class StartError extends Error {
   constructor (message: string, readonly code: number | null) { super(message) }
 }
 
-/** Starts a process and waits until it listens. */
-export const startProcess = async (plan: ProcessPlan, { folder, events, timers }: Parts): Promise<RigProcess> => {
+/** Starts a process and waits until it listens on its port. */
+export const startProcess = async (plan: ProcessPlan, { folder, events, timers }: ProcessContext): Promise<RigProcess> => {
   const { name } = plan
   const file = join(folder, `${name}.ini`)
   let sections: IniSections = plan.sections
@@ -61,7 +61,7 @@
     events.add({ number: kind.number, name: kind.name, instance: name as InstanceName, role: 'rig', sequence: 0, clock: 0, atUnixMs: timers.unixMs(), ...fields })
   }
 
-  const waitForEnd = async (child: ChildProcess): Promise<ExitReport> => await new Promise(resolve => {
+  const reportExit = async (child: ChildProcess): Promise<ExitReport> => await new Promise(resolve => {
     child.once('close', (code, signal) => {
       report(RigEvent.processExited, { reason: signal ?? `code ${code}` })
       resolve({ code, signal })
@@ -76,21 +76,21 @@
       events.add(event)
       if (event.number === BaseEvent.processStarted.number) onStarted(event.detail ?? '')
     })
-    child.stderr.on('data', chunk => { errorText = (errorText + String(chunk)).slice(-KEPT_ERROR_CHARACTERS) })
+    child.stderr.on('data', chunk => { errorText = (errorText + String(chunk)).slice(-MAX_STDERR_CHARACTERS) })
   }
 
-  // Known from the spawn on, so that a process which is still starting when its rig is closed is ended as well.
+  // Set right after the spawn, so that closing the rig also ends a process that is still starting.
   let current: ChildProcess | undefined
 
-  const begin = async (): Promise<Run> => {
+  const spawnAndListen = async (): Promise<ProcessRun> => {
     writeIni(file, sections)
     const child = spawn(process.execPath, [join(DIST, `${plan.binary}.mjs`), '--settings', file, '--event-lines'], { stdio: ['ignore', 'pipe', 'pipe'] })
     current = child
-    const ended = waitForEnd(child)
+    const ended = reportExit(child)
     const address = await new Promise<string>((resolve, reject) => {
-      const cancel = timers.after(START_MS, () => {
+      const cancel = timers.after(START_TIMEOUT_MS, () => {
         child.kill('SIGKILL')
-        reject(new Error(`${name} did not start in ${START_MS} ms: ${errorText}`))
+        reject(new Error(`${name} did not listen within ${START_TIMEOUT_MS} ms: ${errorText}`))
       })
       readLines(child, started => {
         cancel()
@@ -98,25 +98,25 @@
       })
       ended.then(({ code, signal }) => {
         cancel()
-        reject(new StartFault(`${name} ended at its start (${signal ?? code}): ${errorText}`, code))
+        reject(new StartError(`${name} exited before it listened (${signal ?? code}): ${errorText}`, code))
       })
     })
     return { child, ended, address }
   }
 
-  // Between the two runs another connection of the machine may have been given the port for
-  // a moment; the process then ends with the code for an address that cannot be listened on.
-  const beginAgain = async (triesLeft: number): Promise<Run> => {
+  // Between two runs another connection on the machine may briefly occupy the port; the process
+  // then exits with ExitCode.Listen, and only that exit code is retried.
+  const respawn = async (triesLeft: number): Promise<ProcessRun> => {
     try {
-      return await begin()
+      return await spawnAndListen()
     } catch (error) {
-      if (triesLeft <= 1 || !(error instanceof StartFault) || error.code !== ExitCode.Listen) throw error
+      if (triesLeft <= 1 || !(error instanceof StartError) || error.code !== ExitCode.Listen) throw error
       await sleep(timers, RESTART_WAIT_MS)
-      return await beginAgain(triesLeft - 1)
+      return await respawn(triesLeft - 1)
     }
   }
 
-  let run = await begin()
+  let run = await spawnAndListen()
   const [address = '', controlAddress = address] = run.address.split(' ')
   sections = withPort(sections, address)
   if (controlAddress !== address) sections = { ...sections, standin: { ...sections.standin, control_port: controlAddress.split(':')[1] ?? '' } }
@@ -129,15 +129,15 @@
     current?.kill(kind)
   }
 
-  const endOf = async (child: ChildProcess | undefined): Promise<ExitReport> => await new Promise(resolve => {
+  const waitForExit = async (child: ChildProcess | undefined): Promise<ExitReport> => await new Promise(resolve => {
     if (!child || child.exitCode !== null || child.signalCode !== null) return resolve({ code: child?.exitCode ?? null, signal: child?.signalCode ?? null })
     child.once('close', (code, cause) => resolve({ code, signal: cause }))
   })
 
-  const endBy = async (kind: NodeJS.Signals): Promise<ExitReport> => {
+  const signalAndWait = async (kind: NodeJS.Signals): Promise<ExitReport> => {
     const ended = current === run.child ? run.ended : undefined
     signal(kind)
-    return await (ended ?? endOf(current))
+    return await (ended ?? waitForExit(current))
   }
 
   return {
@@ -146,14 +146,14 @@
     controlAddress,
     pid: () => current?.pid ?? -1,
     isRunning,
-    kill: async () => await endBy('SIGKILL'),
+    kill: async () => await signalAndWait('SIGKILL'),
     pause: () => signal('SIGSTOP'),
     resume: () => signal('SIGCONT'),
-    stop: async () => await endBy('SIGTERM'),
+    stop: async () => await signalAndWait('SIGTERM'),
     ended: async () => await run.ended,
     restart: async () => {
-      if (isRunning()) await endBy('SIGKILL')
-      run = await beginAgain(RESTART_TRIES)
+      if (isRunning()) await signalAndWait('SIGKILL')
+      run = await respawn(RESTART_TRIES)
     },
     command: async command => await postCommand(controlAddress, command),
     dump: async () => await (await fetch(`http://${controlAddress}/control`)).json() as Record<string, unknown>,
--- a/packages/proof/src/rig/writeIni.ts
+++ b/packages/proof/src/rig/writeIni.ts
@@ -8,7 +8,7 @@
   writeFileSync(file, stringify(sections))
 }
 
-/** The same settings with the port that the system chose, so that a restart listens there again. */
+/** Settings with the port that the operating system chose, so that the process listens there again after a restart. */
 export const withPort = (sections: IniSections, address: string): IniSections => {
   const port = Number(address.slice(address.lastIndexOf(':') + 1))
   return { ...sections, process: { ...sections.process, port } }
