--- a/packages/proof/src/promises/stopping.test.ts
+++ b/packages/proof/src/promises/stopping.test.ts
@@ -15,7 +15,7 @@
 const cutAmong = (outcomes: readonly AskOutcome[]): readonly string[] =>
   outcomes.flatMap(({ plan, sends }) => sends.some(send => send.kind === 'broken') ? [plan.prompt] : [])
 
-describe('a planned stop interrupts no request', () => {
+describe('a planned stop cuts no request', () => {
   let site: Site
   afterEach(async () => await site.close())
 
