--- a/packages/client/src/calling/constants.ts
+++ b/packages/client/src/calling/constants.ts
@@ -1,9 +1,6 @@
-/**
- * Silence after which a stream counts as dead. Routers send a frame at least once a second,
- * so three are missing by then.
- */
-export const FRAME_SILENCE_MS = 3_000
+/** A stream without frames for this long is treated as lost. Routers send a frame at least once a second, so three are missing. */
+export const FRAME_TIMEOUT_MS = 3_000
 
-/** First pause after a loss that came without a time to come back; doubled up to MAX_LOSS_PAUSE_MS. */
-export const FIRST_LOSS_PAUSE_MS = 50
-export const MAX_LOSS_PAUSE_MS = 2_000
+/** First wait after a loss without a retry time; doubled after each further loss up to MAX_BACKOFF_MS. */
+export const INITIAL_BACKOFF_MS = 50
+export const MAX_BACKOFF_MS = 2_000
--- a/packages/client/src/calling/createCaller.test.ts
+++ b/packages/client/src/calling/createCaller.test.ts
@@ -20,9 +20,9 @@
 const refusal = (runState: RunState, retryAfterMs: number): AnswerFrame =>
   create(AnswerFrameSchema, { number: 0, body: { case: 'refusal', value: create(RefusalSchema, { runState, retryAfterMs, reason: RefusalReason.OVERLOADED }) } })
 
-const whole = [tokensAt(0, 0, 'a', 'b'), finalAt(1, 2)]
+const completeAnswer = [tokensAt(0, 0, 'a', 'b'), finalAt(1, 2)]
 
-/** Runs one call in virtual time; each send meets the next of `answers`, 'silence' or 'cut'. */
+/** Runs one call in virtual time; each send receives the next of `answers`, which may go silent or be cut. */
 const runCall = async (answers: ReadonlyArray<readonly (AnswerFrame | 'silence' | 'cut')[]>, patienceMs = 60_000) => {
   const timers = createVirtualTimers(1_000_000)
   const sends: { readonly request: InferRequest, readonly address: string, readonly atMs: number }[] = []
@@ -44,44 +44,44 @@
 }
 
 describe('caller', () => {
-  it('gets a whole answer', async () => {
-    const { outcome, sends } = await runCall([whole])
+  it('returns a complete answer', async () => {
+    const { outcome, sends } = await runCall([completeAnswer])
     expect(outcome).to.include({ kind: 'answered', sendCount: 1 })
     expect(sends[0]?.request).to.include({ resendCount: 0, requestKey: 'k' })
   })
 
-  // The connection is cut behind the first token. The caller must not take half an answer for a
-  // whole one: it sends the same key and issue time again, elsewhere, and counts the resend.
+  // The connection is cut after the first token. The caller must not return a partial answer: it sends the same key
+  // and issue time again, to the next address, and counts the resend.
   it('resends the same key after a loss, at another address', async () => {
-    const { outcome, sends } = await runCall([[tokensAt(0, 0, 'a'), 'cut'], whole])
+    const { outcome, sends } = await runCall([[tokensAt(0, 0, 'a'), 'cut'], completeAnswer])
     expect(outcome.kind).to.equal('answered')
     expect(sends.map(sent => sent.request.resendCount)).to.deep.equal([0, 1])
     expect(sends.map(sent => sent.address)).to.deep.equal(['a:1', 'b:1'])
     expect(sends[1]?.request.issuedAtMs).to.equal(sends[0]?.request.issuedAtMs)
   })
 
-  // Something between the two ends forgets the connection: no frame comes any more and no error.
-  it('takes silence for a loss', async () => {
-    const { outcome, sends } = await runCall([[tokensAt(0, 0, 'a'), 'silence'], whole])
+  // A device on the network path drops the connection's state: no more frames arrive, and no error either.
+  it('treats a silent stream as lost', async () => {
+    const { outcome, sends } = await runCall([[tokensAt(0, 0, 'a'), 'silence'], completeAnswer])
     expect(outcome.kind).to.equal('answered')
     expect(sends[1]?.atMs).to.be.within(3_000, 3_200)
   })
 
-  it('takes no answer whose parts do not fit together', async () => {
+  it('rejects answers with gaps, wrong counts or a missing end', async () => {
     const broken = [[tokensAt(0, 0, 'a'), tokensAt(2, 1, 'b')], [tokensAt(0, 0, 'a'), tokensAt(1, 2, 'b')], [tokensAt(0, 0, 'a'), finalAt(1, 2)], [tokensAt(0, 0, 'a')]]
-    const { outcome } = await runCall([...broken, whole])
+    const { outcome } = await runCall([...broken, completeAnswer])
     expect(outcome).to.include({ kind: 'answered', sendCount: 5 })
   })
 
-  it('comes back when it was told to, and issues anew only what has not run', async () => {
-    const { sends } = await runCall([[refusal(RunState.MAY_HAVE_RUN, 700)], [refusal(RunState.NOT_RUN, 500)], whole])
+  it('waits for the retry time and gives a new issue time only after "not run"', async () => {
+    const { sends } = await runCall([[refusal(RunState.MAY_HAVE_RUN, 700)], [refusal(RunState.NOT_RUN, 500)], completeAnswer])
     expect(sends[1]?.atMs).to.be.within(700, 720)
     expect(sends.map(sent => sent.request.resendCount)).to.deep.equal([0, 1, 0])
     expect(sends[1]?.request.issuedAtMs).to.equal(sends[0]?.request.issuedAtMs)
     expect(Number(sends[2]?.request.issuedAtMs)).to.be.greaterThan(Number(sends[1]?.request.issuedAtMs))
   })
 
-  it('gives up when coming back is of no use, or its patience ends', async () => {
+  it('gives up on a refusal without a retry time, or when its time is up', async () => {
     const refused = await runCall([[refusal(RunState.MAY_HAVE_RUN, 0)]])
     expect(refused.outcome).to.include({ kind: 'refused', sendCount: 1 })
     const impatient = await runCall([[refusal(RunState.NOT_RUN, 400)]], 1_000)
--- a/packages/client/src/calling/openConnectAnswer.ts
+++ b/packages/client/src/calling/openConnectAnswer.ts
@@ -7,32 +7,31 @@
 import type { OpenAnswer } from './types.js'
 
 /**
- * Opens answers by Connect RPC, with kept connections for each address.
+ * Opens answer streams by Connect RPC, with pooled keep-alive connections for each address.
  *
- * Guards against a kept connection that something between the two ends has forgotten: a send
- * on it gets neither an answer nor an error. After a stream that failed or fell silent the
- * address's connections are dropped, so the resend opens a new one.
+ * Guards against a pooled connection whose state was dropped on the network path: a send on it gets neither an answer
+ * nor an error. After a failed or silent stream the address gets a new pool, so the resend opens a new connection.
  */
 export const openConnectAnswer = (key: string): OpenAnswer => {
-  const clients = new Map<string, { readonly client: Client<typeof Inference>, readonly pool: Agent }>()
+  const connections = new Map<string, { readonly client: Client<typeof Inference>, readonly pool: Agent }>()
 
   const connect = (address: string) => {
     const pool = new Agent({ keepAlive: true })
     const client = createClient(Inference, createTransport({ address, bearerKey: key, agent: pool }))
-    const made = { client, pool }
-    clients.set(address, made)
-    return made
+    const connection = { client, pool }
+    connections.set(address, connection)
+    return connection
   }
 
   return async function * (address, request, signal) {
-    const used = clients.get(address) ?? connect(address)
+    const connection = connections.get(address) ?? connect(address)
     let ended = false
     try {
-      yield * used.client.infer(request, { signal })
+      yield * connection.client.infer(request, { signal })
       ended = true
     } finally {
-      // Other streams of this address go on: only idle connections of the pool are in doubt.
-      if (!ended && clients.get(address) === used) clients.delete(address)
+      // Only idle connections of the old pool are suspect; other streams on it continue.
+      if (!ended && connections.get(address) === connection) connections.delete(address)
     }
   }
 }
--- a/packages/client/src/calling/receiveAnswer.ts
+++ b/packages/client/src/calling/receiveAnswer.ts
@@ -1,9 +1,9 @@
-import { gatherFrame, nothingGathered } from '../answers/gatherAnswer.js'
-import { FRAME_SILENCE_MS } from './constants.js'
+import { addFrame, emptyAnswer } from '../answers/addFrame.js'
+import { FRAME_TIMEOUT_MS } from './constants.js'
 
 import type { TimerService } from '@figmount/base'
 import type { InferRequest } from '@figmount/schema'
-import type { AnswerEnd } from '../answers/gatherAnswer.js'
+import type { AnswerEnd } from '../answers/addFrame.js'
 import type { OpenAnswer } from './types.js'
 
 interface ReceiveOptions {
@@ -14,43 +14,43 @@
   readonly signal: AbortSignal
 }
 
-/** How one send ended. */
-export type Received =
+/** Result of one send. */
+export type ReceiveResult =
   | { readonly kind: 'ended', readonly end: AnswerEnd, readonly tokens: readonly string[], readonly firstTokenAtMs: number, readonly longestGapMs: number }
-  /** The stream broke, fell silent, or its frames do not fit together. */
+  /** The stream broke, went silent, or its frames are inconsistent. */
   | { readonly kind: 'broken', readonly mistake: string }
 
-/** Sends a request once and receives its answer; silence of FRAME_SILENCE_MS counts as a broken stream. */
-export const receiveAnswer = async ({ openAnswer, address, request, timers, signal }: ReceiveOptions): Promise<Received> => {
+/** Sends a request once and receives its answer; a stream without frames for FRAME_TIMEOUT_MS counts as broken. */
+export const receiveAnswer = async ({ openAnswer, address, request, timers, signal }: ReceiveOptions): Promise<ReceiveResult> => {
   const abort = new AbortController()
-  const stop = (): void => abort.abort()
-  signal.addEventListener('abort', stop, { once: true })
-  let cancelSilence = timers.after(FRAME_SILENCE_MS, stop)
+  const abortStream = (): void => abort.abort()
+  signal.addEventListener('abort', abortStream, { once: true })
+  let cancelTimeout = timers.after(FRAME_TIMEOUT_MS, abortStream)
   const tokens: string[] = []
-  let gathered = nothingGathered
+  let answer = emptyAnswer
   let firstTokenAtMs = 0
   let lastTokenAtMs = 0
   let longestGapMs = 0
   try {
     for await (const frame of openAnswer(address, request, abort.signal)) {
-      cancelSilence()
-      cancelSilence = timers.after(FRAME_SILENCE_MS, stop)
-      gathered = gatherFrame(gathered, frame)
-      tokens.push(...gathered.fresh)
+      cancelTimeout()
+      cancelTimeout = timers.after(FRAME_TIMEOUT_MS, abortStream)
+      answer = addFrame(answer, frame)
+      tokens.push(...answer.fresh)
       if (frame.body.case === 'tokens') {
         const nowMs = timers.nowMs()
         if (firstTokenAtMs === 0) firstTokenAtMs = nowMs
         else longestGapMs = Math.max(longestGapMs, nowMs - lastTokenAtMs)
         lastTokenAtMs = nowMs
       }
-      if (gathered.mistake !== undefined) return { kind: 'broken', mistake: gathered.mistake }
+      if (answer.mistake !== undefined) return { kind: 'broken', mistake: answer.mistake }
     }
   } catch (error) {
-    if (!gathered.end) return { kind: 'broken', mistake: abort.signal.aborted ? 'no frame came in time' : (error as Error).message }
+    if (!answer.end) return { kind: 'broken', mistake: abort.signal.aborted ? 'no frame came in time' : (error as Error).message }
   } finally {
-    cancelSilence()
-    signal.removeEventListener('abort', stop)
+    cancelTimeout()
+    signal.removeEventListener('abort', abortStream)
   }
-  const { end } = gathered
+  const { end } = answer
   return end ? { kind: 'ended', end, tokens, firstTokenAtMs, longestGapMs } : { kind: 'broken', mistake: 'the stream ended without its last frame' }
 }
--- a/packages/client/src/calling/types.ts
+++ b/packages/client/src/calling/types.ts
@@ -1,24 +1,24 @@
 import type { EventLog, TimerService } from '@figmount/base'
 import type { AnswerFrame, Final, InferRequest, Refusal } from '@figmount/schema'
 
-/** What a caller asks for; key, issue time and resends are the library's work. */
+/** A request of a caller; the library adds the key, issue time and resend count. */
 export interface CallRequest {
   readonly service: string
   readonly model: string
   readonly prompt: string
   readonly maxTokens: number
-  /** Time within which each send is to be answered. */
+  /** Time limit for the answer to each send. */
   readonly deadlineMs: number
   /** False for a request that may run at most once. */
   readonly repeatable: boolean
   readonly adapter?: string
   readonly version?: string
   readonly prefixHint?: string
-  /** Chosen by the library if left out. Must be unique for the caller. */
+  /** Random if left out. Must be unique for the caller. */
   readonly requestKey?: string
 }
 
-/** How a call ended. */
+/** Result of a call. */
 export type CallOutcome =
   | {
     readonly kind: 'answered'
@@ -30,29 +30,29 @@
     readonly longestGapMs: number
     readonly totalMs: number
   }
-  /** Coming back is of no use: the refusal says what is known of the run. */
+  /** Refused without a retry time; the refusal says whether the request may have run. */
   | { readonly kind: 'refused', readonly refusal: Refusal, readonly sendCount: number, readonly totalMs: number }
-  /** The caller's own patience or signal ended first. */
+  /** The caller's time limit or signal ended the call. */
   | { readonly kind: 'givenUp', readonly sendCount: number, readonly totalMs: number, readonly lastMistake: string }
 
 /** Opens one answer stream at an address. */
 export type OpenAnswer = (address: string, request: InferRequest, signal: AbortSignal) => AsyncIterable<AnswerFrame>
 
 export interface CallerOptions {
-  /** Routers or balancers, as host:port; tried in turn. */
+  /** The host:port of routers or load balancers; tried in turn. */
   readonly addresses: readonly string[]
-  /** The caller's key. */
+  /** The caller's API key. */
   readonly key: string
   readonly timers: TimerService
   readonly events?: EventLog
-  /** Yields numbers in [0, 1), to spread resends after a loss. */
+  /** Returns numbers in [0, 1), for backoff jitter and the first address. */
   readonly random?: () => number
-  /** Ends every call after this long in all; unbounded if left out. */
+  /** Time limit of each call over all its resends; unlimited if left out. */
   readonly patienceMs?: number
   readonly openAnswer?: OpenAnswer
 }
 
-/** A caller of figmount that never loses an answer on its own account. */
+/** Sends requests to figmount and resends them until they end. */
 export interface Caller {
   readonly call: (request: CallRequest, signal?: AbortSignal) => Promise<CallOutcome>
 }
