--- a/packages/load/src/arrivals/planArrivals.test.ts
+++ b/packages/load/src/arrivals/planArrivals.test.ts
@@ -36,14 +36,14 @@
     expect(planArrivals(experiment({}))).not.to.deep.equal(planArrivals(experiment({}, 2)))
   })
 
-  it('keep their rate and prefer the first models', () => {
+  it('match the rate and prefer the first models', () => {
     const planned = planArrivals(experiment({}))
     expect(planned.length).to.be.within(900, 1100)
     const hot = planned.filter(request => request.model === 'hot').length
     expect(hot / planned.length).to.be.within(0.65, 0.82)
   })
 
-  it('come at once in bursts', () => {
+  it('arrive at once in bursts', () => {
     const times = planArrivals(experiment({ arrivals: 'burst', untilMs: 1000 })).map(request => request.atMs)
     expect(times).to.deep.equal([...Array(5).fill(0), ...Array(5).fill(400), ...Array(5).fill(800)])
   })
--- a/packages/load/src/arrivals/planArrivals.ts
+++ b/packages/load/src/arrivals/planArrivals.ts
@@ -5,7 +5,7 @@
 import type { PlannedRequest } from './types.js'
 
 const MS_PER_SECOND = 1000
-/** Spreads the seeds of the kinds of traffic, so that adding one leaves the others' arrivals unchanged. */
+/** Distance between the seeds of the traffic sections, so that adding a section at the end leaves the others' arrivals unchanged. */
 const SEED_STRIDE = 7919
 
 type Random = () => number
@@ -46,20 +46,20 @@
   }
 }
 
-/** Cumulative shares by which the n-th of `count` things is chosen under a Zipf law. */
-const zipfShares = (count: number, exponent: number): readonly number[] => {
+/** Cumulative probabilities of choosing each of `count` items under a Zipf distribution. */
+const cumulativeZipfShares = (count: number, exponent: number): readonly number[] => {
   const weights = Array.from({ length: count }, (_, index) => (index + 1) ** -exponent)
   const total = weights.reduce((sum, weight) => sum + weight, 0)
-  let reached = 0
+  let cumulative = 0
   return weights.map(weight => {
-    reached += weight / total
-    return reached
+    cumulative += weight / total
+    return cumulative
   })
 }
 
 const pickByShare = (shares: readonly number[], random: Random): number => {
-  const drawn = random()
-  const index = shares.findIndex(share => drawn < share)
+  const draw = random()
+  const index = shares.findIndex(share => draw < share)
   return index === -1 ? shares.length - 1 : index
 }
 
@@ -73,7 +73,7 @@
   `${traffic.name} request ${number} `.padEnd(traffic.promptLength, '.')
 
 const planTraffic = (traffic: TrafficPlan, random: Random): ReadonlyArray<Omit<PlannedRequest, 'index'>> => {
-  const shares = zipfShares(traffic.models.length, traffic.zipfExponent)
+  const shares = cumulativeZipfShares(traffic.models.length, traffic.zipfExponent)
   return arrivalTimes(traffic, random).map((atMs, number) => ({
     traffic,
     atMs,
@@ -84,7 +84,7 @@
   }))
 }
 
-/** All requests of an experiment in order of time; the same seed plans the same requests. */
+/** Plans all requests of an experiment, in order of time; the same seed gives the same plan. */
 export const planArrivals = (experiment: Experiment): readonly PlannedRequest[] =>
   experiment.traffic
     .flatMap((traffic, position) => planTraffic(traffic, createRandom(experiment.seed + position * SEED_STRIDE)))
--- a/packages/load/src/arrivals/types.ts
+++ b/packages/load/src/arrivals/types.ts
@@ -1,6 +1,6 @@
 import type { TrafficPlan } from '../experiment/types.js'
 
-/** One request that is to be sent at a time, whatever became of those before it. */
+/** One request and the time at which it is sent, independent of earlier requests. */
 export interface PlannedRequest {
   readonly index: number
   readonly traffic: TrafficPlan
--- a/packages/load/src/bin.ts
+++ b/packages/load/src/bin.ts
@@ -1,4 +1,4 @@
-/** Command line of the load and experiment tool. */
+/** Command line of the load tool. */
 import { createWriteStream, readFileSync, writeFileSync } from 'node:fs'
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
@@ -26,13 +26,13 @@
 
 const args = await yargs(hideBin(process.argv))
   .scriptName('figmount-load')
-  .usage('$0 FILE\n\nRuns an experiment: open-loop callers that never give up, seeded.')
+  .usage('$0 FILE\n\nRuns an experiment with seeded, open-loop traffic whose callers keep retrying.')
   .option('check', { type: 'boolean', default: false, describe: 'check the experiment file and exit' })
   .option('routers', { type: 'string', describe: 'host:port, with commas between several; overrides the file' })
-  .option('runs', { type: 'number', default: 1, describe: 'runs with seeds counted up, to know the noise' })
+  .option('runs', { type: 'number', default: 1, describe: 'number of runs, each with the next seed, to estimate the noise' })
   .option('report', { type: 'string', describe: 'write the report as JSON to this file' })
   .option('html', { type: 'string', describe: 'write the report as a page with plots to this file' })
-  .option('against', { type: 'string', describe: 'hold the report against this earlier one' })
+  .option('against', { type: 'string', describe: 'compare the report with this earlier one' })
   .option('event-file', { type: 'string', describe: "write the callers' events to this file, for figmount-timeline" })
   .option('standin-tokens', { type: 'boolean', default: false, describe: 'check every token against what the stand-in engines generate' })
   .demandCommand(1, 'an experiment file is needed')
@@ -49,7 +49,7 @@
   print(`${String(args._[0])}: the experiment is valid`)
   process.exit(ExitCode.Ok)
 }
-if (experiment.routers.length === 0) exitWith(ExitCode.Usage, 'no router is named: set routers in [experiment] or pass --routers')
+if (experiment.routers.length === 0) exitWith(ExitCode.Usage, 'no routers: set routers in [experiment] or pass --routers')
 
 const timers = createTimerService()
 const eventFile = args.eventFile === undefined ? undefined : createWriteStream(args.eventFile)
@@ -62,7 +62,7 @@
 
 const checkTokens: CheckTokens = (...answer) => !args.standinTokens || checkStandinTokens(...answer)
 
-// Between two requests nothing but a timer may be pending.
+// figmount's timers do not keep the process alive, and between two requests nothing else is pending.
 stayAwake()
 
 const stop = new AbortController()
--- a/packages/load/src/experiment/parseExperiment.ts
+++ b/packages/load/src/experiment/parseExperiment.ts
@@ -10,18 +10,18 @@
 
 const MS_PER_SECOND = 1000
 
-const whole = z.string().regex(/^\d+$/, 'a whole number').transform(Number)
+const wholeNumber = z.string().regex(/^\d+$/, 'a whole number').transform(Number)
 const decimal = z.string().regex(/^\d+(\.\d+)?$/, 'a number').transform(Number)
 const list = z.string().transform(text => text.split(',').map(part => part.trim()).filter(part => part !== ''))
-const truth = z.union([z.boolean(), z.enum(['true', 'false'], 'true or false').transform(text => text === 'true')])
+const booleanText = z.union([z.boolean(), z.enum(['true', 'false'], 'true or false').transform(text => text === 'true')])
 
 const experimentSection = z.strictObject({
   name: z.string('a name'),
-  seed: whole,
+  seed: wholeNumber,
   duration_s: decimal,
-  /** Requests planned earlier are sent and checked, but left out of the figures. */
+  /** Requests planned before this time are sent and checked, but left out of the figures. */
   warm_up_s: decimal.default(0),
-  /** May be left to the command line. */
+  /** May be given on the command line instead. */
   routers: list.default([])
 })
 
@@ -35,46 +35,46 @@
   adapters: list.default([]),
   arrivals: z.enum(Object.values(ArrivalKind), 'poisson, steady or burst'),
   rate_per_second: decimal.default(0),
-  burst_size: whole.default(0),
+  burst_size: wholeNumber.default(0),
   burst_every_s: decimal.default(0),
   from_s: decimal.default(0),
   until_s: decimal.optional(),
-  repeatable: truth.default(true),
-  prompt_length: whole.default(200),
-  prefix_count: whole.default(0),
-  max_tokens: whole.default(16),
-  deadline_ms: whole.default(10_000),
-  patience_ms: whole.default(60_000)
+  repeatable: booleanText.default(true),
+  prompt_length: wholeNumber.default(200),
+  prefix_count: wholeNumber.default(0),
+  max_tokens: wholeNumber.default(16),
+  deadline_ms: wholeNumber.default(10_000),
+  patience_ms: wholeNumber.default(60_000)
 }).refine(traffic => traffic.arrivals === ArrivalKind.Burst || traffic.rate_per_second > 0, { message: 'a rate above 0', path: ['rate_per_second'] })
   .refine(traffic => traffic.arrivals !== ArrivalKind.Burst || traffic.burst_size > 0, { message: 'a size above 0', path: ['burst_size'] })
 
 const faultSection = z.strictObject({
   at_s: decimal,
-  address: z.string('host:port of a control surface'),
+  address: z.string('host:port of a control endpoint'),
   path: z.string('a path that begins with /').startsWith('/'),
   body: z.string('JSON').refine(text => Either.encase(() => JSON.parse(text) as unknown).isRight(), 'JSON')
 })
 
 type Sections = Readonly<Record<string, unknown>>
 
-const issueFault = (file: string, section: string) => (issue: z.core.$ZodIssue): SettingsFault => {
-  const unknownKey = issue.code === 'unrecognized_keys'
+const toSettingsFault = (file: string, section: string) => (issue: z.core.$ZodIssue): SettingsFault => {
+  const isUnknownKey = issue.code === 'unrecognized_keys'
   return {
     file,
     section,
-    key: unknownKey ? issue.keys.join(', ') : issue.path.join('.'),
-    expected: unknownKey ? 'a known key' : issue.message,
-    found: unknownKey ? 'an unknown key' : issue.input === undefined ? 'nothing' : JSON.stringify(issue.input)
+    key: isUnknownKey ? issue.keys.join(', ') : issue.path.join('.'),
+    expected: isUnknownKey ? 'a known key' : issue.message,
+    found: isUnknownKey ? 'an unknown key' : issue.input === undefined ? 'nothing' : JSON.stringify(issue.input)
   }
 }
 
-/** Reads sections and collects their mistakes. */
+/** Parses sections and collects their faults. */
 const createReader = (file: string, sections: Sections) => {
   const faults: SettingsFault[] = []
   const read = <T>(section: string, schema: z.ZodType<T>): T | undefined => {
     const result = schema.safeParse(sections[section], { reportInput: true })
     if (result.success) return result.data
-    faults.push(...result.error.issues.map(issueFault(file, section)))
+    faults.push(...result.error.issues.map(toSettingsFault(file, section)))
     return undefined
   }
   const readAll = <T, P>(prefix: string, schema: z.ZodType<T>, build: (name: string, section: T) => P): readonly P[] => {
@@ -116,35 +116,35 @@
 const buildFault = (name: string, section: z.infer<typeof faultSection>): FaultPlan =>
   ({ name, atMs: section.at_s * MS_PER_SECOND, address: section.address, path: section.path, bodyJson: section.body })
 
-const unknownCallers = (file: string, experiment: Experiment): readonly SettingsFault[] => {
-  const known = new Set(experiment.callers.map(caller => caller.name))
+const findUnknownCallers = (file: string, experiment: Experiment): readonly SettingsFault[] => {
+  const callerNames = new Set(experiment.callers.map(caller => caller.name))
   return experiment.traffic
-    .filter(traffic => !known.has(traffic.caller))
-    .map(traffic => ({ file, section: `traffic/${traffic.name}`, key: 'caller', expected: 'a caller with a section of its own', found: traffic.caller }))
+    .filter(traffic => !callerNames.has(traffic.caller))
+    .map(traffic => ({ file, section: `traffic/${traffic.name}`, key: 'caller', expected: 'the name of a [caller/NAME] section', found: traffic.caller }))
 }
 
-const strays = (file: string, sections: Sections): readonly SettingsFault[] =>
+const findUnknownSections = (file: string, sections: Sections): readonly SettingsFault[] =>
   Object.keys(sections)
     .filter(section => section !== 'experiment' && !/^(caller|traffic|fault)\/[^/]+$/.test(section))
     .map(section => ({ file, section, key: '', expected: 'experiment, caller/NAME, traffic/NAME or fault/NAME', found: section }))
 
-/** Checks an experiment in INI. Every mistake is named before anything starts. */
+/** Parses an experiment from INI. All mistakes are reported at once, before anything starts. */
 export const parseExperiment = (file: string, text: string): Either<readonly SettingsFault[], Experiment> => {
   const sections: Sections = parse(text)
   const reader = createReader(file, sections)
-  const head = reader.read('experiment', experimentSection)
-  const durationMs = (head?.duration_s ?? 0) * MS_PER_SECOND
+  const general = reader.read('experiment', experimentSection)
+  const durationMs = (general?.duration_s ?? 0) * MS_PER_SECOND
   const experiment: Experiment = {
-    name: head?.name ?? '',
-    seed: head?.seed ?? 0,
+    name: general?.name ?? '',
+    seed: general?.seed ?? 0,
     durationMs,
-    warmUpMs: (head?.warm_up_s ?? 0) * MS_PER_SECOND,
-    routers: head?.routers ?? [],
+    warmUpMs: (general?.warm_up_s ?? 0) * MS_PER_SECOND,
+    routers: general?.routers ?? [],
     callers: reader.readAll('caller', callerSection, buildCaller),
     traffic: reader.readAll('traffic', trafficSection, buildTraffic(durationMs)),
     faults: reader.readAll('fault', faultSection, buildFault)
   }
-  const faults = [...reader.faults, ...strays(file, sections), ...unknownCallers(file, experiment)]
+  const faults = [...reader.faults, ...findUnknownSections(file, sections), ...findUnknownCallers(file, experiment)]
   return faults.length > 0 ? Left(faults) : Right(experiment)
 }
 
--- a/packages/load/src/experiment/types.ts
+++ b/packages/load/src/experiment/types.ts
@@ -1,27 +1,27 @@
 import type { CallerName } from '@figmount/base'
 
-/** How requests of one kind arrive. */
+/** Arrival pattern of requests. */
 export const ArrivalKind = {
-  /** Independent callers: exponential gaps. */
+  /** Independent callers: exponentially distributed gaps. */
   Poisson: 'poisson',
   /** Equal gaps. */
   Steady: 'steady',
-  /** All at once, `every_ms` apart. */
+  /** `burst_size` requests at once, every `burst_every_s`. */
   Burst: 'burst'
 } as const
 
 export type ArrivalKind = typeof ArrivalKind[keyof typeof ArrivalKind]
 
-/** One kind of request that the experiment sends. */
+/** One kind of request that the experiment sends, and how these arrive. */
 export interface TrafficPlan {
   readonly name: string
   readonly caller: CallerName
   readonly service: string
-  /** Models to choose from. */
+  /** Models to choose from, the most popular first. */
   readonly models: readonly string[]
-  /** Exponent of the Zipf law by which models are chosen; 0 chooses evenly. */
+  /** Exponent of the Zipf distribution by which models are chosen; 0 chooses uniformly. */
   readonly zipfExponent: number
-  /** Adapters to choose from; the bare model if there are none. */
+  /** Adapters to choose from, uniformly; if empty, requests use the base model. */
   readonly adapters: readonly string[]
   readonly arrivals: ArrivalKind
   readonly ratePerSecond: number
@@ -34,7 +34,7 @@
   readonly prefixCount: number
   readonly maxTokens: number
   readonly deadlineMs: number
-  /** How long a caller goes on resending before the run counts the request as unserved. */
+  /** How long a caller keeps resending before the request counts as unserved. */
   readonly patienceMs: number
 }
 
@@ -44,22 +44,22 @@
   readonly key: string
 }
 
-/** A change of a stand-in's behaviour during the run, through its control surface. */
+/** A fault that a stand-in is ordered to simulate during the run, through its control endpoint. */
 export interface FaultPlan {
   readonly name: string
   readonly atMs: number
-  /** Address of the control surface as host:port. */
+  /** The host:port of the control endpoint. */
   readonly address: string
   readonly path: string
   readonly bodyJson: string
 }
 
-/** A whole experiment. */
+/** A parsed experiment file. */
 export interface Experiment {
   readonly name: string
   readonly seed: number
   readonly durationMs: number
-  /** Requests planned earlier are sent and checked, but left out of the figures. */
+  /** Requests planned before this time are sent and checked, but left out of the figures. */
   readonly warmUpMs: number
   readonly routers: readonly string[]
   readonly callers: readonly CallerPlan[]
--- a/packages/load/src/faults/applyFaults.ts
+++ b/packages/load/src/faults/scheduleFaults.ts
@@ -4,8 +4,8 @@
 import type { Fault, TimerService, Unsubscribe } from '@figmount/base'
 import type { FaultPlan } from '../experiment/types.js'
 
-/** Carries out one planned change at a control surface. */
-const applyFault = (plan: FaultPlan): EitherAsync<Fault, void> =>
+/** Posts one planned fault to a control endpoint. */
+const injectFault = (plan: FaultPlan): EitherAsync<Fault, void> =>
   EitherAsync<Fault, Response>(async ({ throwE }) => {
     try {
       return await fetch(`http://${plan.address}${plan.path}`, {
@@ -20,14 +20,14 @@
     if (!response.ok) throwE(makeFault(FaultKind.Invalid, `load.fault ${plan.name}`, plan.address, `status ${response.status}`))
   }))
 
-/** Schedules all planned faults; a fault that cannot be brought about is reported, since it makes the run worthless. */
+/** Schedules all planned faults. A fault that could not be injected is reported, since the run is then invalid. */
 export const scheduleFaults = (
   timers: TimerService,
   plans: readonly FaultPlan[],
   onFault: (fault: Fault) => void
 ): Unsubscribe => {
   const pending = plans.map(plan => timers.after(plan.atMs, () => {
-    applyFault(plan).run()
+    injectFault(plan).run()
       .then(result => { result.ifLeft(onFault) })
       .catch((error: unknown) => onFault(faultFrom(`load.fault ${plan.name}`, plan.address)(error)))
   }))
--- a/packages/load/src/index.ts
+++ b/packages/load/src/index.ts
@@ -1,4 +1,4 @@
-/** Load and experiment tool: seeded open-loop callers that never give up, reports and comparisons. */
+/** Load tool: runs experiments with seeded, open-loop traffic whose callers keep retrying; reports and compares the results. */
 export { LoadEvent } from './events.js'
 export { createRandom } from './arrivals/createRandom.js'
 export { planArrivals } from './arrivals/planArrivals.js'
--- a/packages/load/src/report/renderReport.ts
+++ b/packages/load/src/report/renderReport.ts
@@ -4,23 +4,23 @@
 const PLOT_HEIGHT_PX = 160
 const COLOURS = { answers: '#54a24b', refusals: '#f58518' } as const
 
-const polyline = (values: readonly number[], highest: number, colour: string): string => {
+const polyline = (values: readonly number[], maxValue: number, colour: string): string => {
   const points = values.map((value, index) => {
     const x = index / Math.max(1, values.length - 1) * PLOT_WIDTH_PX
-    const y = PLOT_HEIGHT_PX - value / highest * (PLOT_HEIGHT_PX - 10)
+    const y = PLOT_HEIGHT_PX - value / maxValue * (PLOT_HEIGHT_PX - 10)
     return `${x.toFixed(1)},${y.toFixed(1)}`
   })
   return `<polyline fill="none" stroke="${colour}" stroke-width="1.5" points="${points.join(' ')}"/>`
 }
 
 const drawRun = (run: RunFigures, index: number): string => {
-  const highest = Math.max(1, ...run.answersBySecond, ...run.refusalsBySecond)
+  const maxValue = Math.max(1, ...run.answersBySecond, ...run.refusalsBySecond)
   return [
     `<h2>Run ${index + 1}${run.partial ? ' (partial: broken off)' : ''}</h2>`,
-    `<p>Ends by second, up to ${highest} a second: answers green, refusals orange.</p>`,
+    `<p>Ends by second, up to ${maxValue} a second: answers green, refusals orange.</p>`,
     `<svg width="${PLOT_WIDTH_PX}" height="${PLOT_HEIGHT_PX}" style="background:#fafafa;border:1px solid #ddd">`,
-    polyline(run.answersBySecond, highest, COLOURS.answers),
-    polyline(run.refusalsBySecond, highest, COLOURS.refusals),
+    polyline(run.answersBySecond, maxValue, COLOURS.answers),
+    polyline(run.refusalsBySecond, maxValue, COLOURS.refusals),
     '</svg>'
   ].join('\n')
 }
@@ -49,7 +49,7 @@
   return `<table><tr>${head}</tr>\n${body}</table><p>Refusals by reason<br>${reasons}</p>`
 }
 
-/** The report as one HTML page with plots. */
+/** Renders the report as one HTML page with plots. */
 export const renderReport = (report: Report): string => [
   '<!doctype html><meta charset="utf-8">',
   `<title>${escape(report.experiment)}</title>`,
--- a/packages/load/src/report/types.ts
+++ b/packages/load/src/report/types.ts
@@ -29,7 +29,7 @@
 export interface RunFigures {
   readonly partial: boolean
   readonly elapsedMs: number
-  /** Answers that ended in each second, for the plot. */
+  /** Number of answers that ended in each second, for the plot. */
   readonly answersBySecond: readonly number[]
   readonly refusalsBySecond: readonly number[]
   readonly traffic: readonly TrafficFigures[]
@@ -42,13 +42,13 @@
   readonly runs: readonly RunFigures[]
 }
 
-/** How one figure differs between two reports. */
+/** Difference of one figure between two reports. */
 export interface FigureChange {
   readonly traffic: string
   readonly figure: string
   readonly before: number
   readonly after: number
-  /** Half width of the noise, from the spread of the repeated runs. */
+  /** Half width of the noise interval, from the spread of repeated runs. */
   readonly noise: number
   readonly judgement: 'better' | 'worse' | 'within noise'
 }
--- a/packages/load/src/running/createSender.ts
+++ b/packages/load/src/running/createSender.ts
@@ -10,7 +10,7 @@
 import type { Experiment } from '../experiment/types.js'
 import type { CallOutcome, SendRequest } from './types.js'
 
-/** Says whether the tokens of an answer are the ones that the request must get. */
+/** Returns true if the tokens are the correct answer to the request. */
 export type CheckTokens = (request: PlannedRequest, version: string, tokens: readonly string[]) => boolean
 
 interface Options {
@@ -22,7 +22,7 @@
   readonly checkTokens: CheckTokens
 }
 
-/** What one call left behind besides its outcome, read from the library's events. */
+/** Details of a call that its outcome lacks, taken from the library's events. */
 interface CallTrace {
   readonly refusals: readonly string[]
 }
@@ -36,16 +36,16 @@
   }
 }
 
-const outcomeOf = (library: LibraryOutcome, trace: CallTrace, isRight: boolean): CallOutcome => {
-  const common = { totalMs: library.totalMs, resendCount: library.sendCount - 1, refusals: trace.refusals, detail: reasonOf(library) }
-  if (library.kind === 'answered') {
-    return { ...common, kind: isRight ? 'answered' : 'broken', firstTokenMs: library.firstTokenMs, tokenCount: library.tokens.length, longestGapMs: library.longestGapMs }
+const toCallOutcome = (libraryOutcome: LibraryOutcome, trace: CallTrace, isCorrect: boolean): CallOutcome => {
+  const common = { totalMs: libraryOutcome.totalMs, resendCount: libraryOutcome.sendCount - 1, refusals: trace.refusals, detail: reasonOf(libraryOutcome) }
+  if (libraryOutcome.kind === 'answered') {
+    return { ...common, kind: isCorrect ? 'answered' : 'broken', firstTokenMs: libraryOutcome.firstTokenMs, tokenCount: libraryOutcome.tokens.length, longestGapMs: libraryOutcome.longestGapMs }
   }
-  const kind = library.kind === 'refused' ? 'refused' : 'unserved'
+  const kind = libraryOutcome.kind === 'refused' ? 'refused' : 'unserved'
   return { ...common, kind, firstTokenMs: undefined, tokenCount: 0, longestGapMs: 0 }
 }
 
-/** Makes the function that sends planned requests through the caller's library, one caller for each in the plan. */
+/** Creates the function that sends planned requests through the callers' library, with one caller for each traffic section. */
 export const createSender = (options: Options): SendRequest => {
   const { experiment, addresses, timers, events, random, checkTokens } = options
   const refusalsByKey = new Map<string, string[]>()
@@ -64,7 +64,7 @@
     const requestKey = randomUUID()
     const refusals: string[] = []
     refusalsByKey.set(requestKey, refusals)
-    const library = await callers.get(traffic.name)?.call({
+    const libraryOutcome = await callers.get(traffic.name)?.call({
       requestKey,
       service: traffic.service,
       model: request.model,
@@ -76,9 +76,9 @@
       repeatable: traffic.repeatable
     })
     refusalsByKey.delete(requestKey)
-    if (!library) throw new Error(`traffic ${traffic.name} has no caller`)
-    const isRight = library.kind !== 'answered' || checkTokens(request, library.final.version, library.tokens)
-    if (!isRight) events.emit(LoadEvent.answerWrong, { caller: traffic.caller, requestKey, model: request.model })
-    return outcomeOf(library, { refusals }, isRight)
+    if (!libraryOutcome) throw new Error(`traffic ${traffic.name} has no caller`)
+    const isCorrect = libraryOutcome.kind !== 'answered' || checkTokens(request, libraryOutcome.final.version, libraryOutcome.tokens)
+    if (!isCorrect) events.emit(LoadEvent.answerWrong, { caller: traffic.caller, requestKey, model: request.model })
+    return toCallOutcome(libraryOutcome, { refusals }, isCorrect)
   }
 }
--- a/packages/load/src/running/runExperiment.ts
+++ b/packages/load/src/running/runExperiment.ts
@@ -1,7 +1,7 @@
 import { createRandom } from '../arrivals/createRandom.js'
 import { planArrivals } from '../arrivals/planArrivals.js'
 import { LoadEvent } from '../events.js'
-import { scheduleFaults } from '../faults/applyFaults.js'
+import { scheduleFaults } from '../faults/scheduleFaults.js'
 import { summarise } from '../report/summarise.js'
 import { createSender } from './createSender.js'
 import { runPlan } from './runPlan.js'
@@ -20,7 +20,7 @@
   readonly signal: AbortSignal
 }
 
-/** Runs an experiment once against its routers and works out the figures. */
+/** Runs an experiment once against its routers and computes the figures. */
 export const runExperiment = async (experiment: Experiment, options: Options): Promise<RunFigures> => {
   const { timers, events, checkTokens, onProgress, signal } = options
   const plan = planArrivals(experiment)
--- a/packages/load/src/running/runPlan.ts
+++ b/packages/load/src/running/runPlan.ts
@@ -4,17 +4,17 @@
 import type { PlannedRequest } from '../arrivals/types.js'
 import type { RequestResult, RunProgress, SendRequest } from './types.js'
 
-const PROGRESS_MS = 1_000
+const PROGRESS_PERIOD_MS = 1_000
 
 interface Options {
   readonly timers: TimerService
   readonly send: SendRequest
   readonly onProgress: (progress: RunProgress) => void
-  /** Ends the run early; requests that were sent still end. */
+  /** Ends the run early; requests already sent run to their end. */
   readonly signal: AbortSignal
 }
 
-/** Results of a run; `partial` when it was broken off. */
+/** Results of a run; `partial` when it was aborted. */
 export interface RunResults {
   readonly results: readonly RequestResult[]
   readonly partial: boolean
@@ -22,7 +22,7 @@
 }
 
 /**
- * Sends every request at its planned time whatever became of earlier ones. Latencies count from the
+ * Sends every request at its planned time, independent of earlier ones (open loop). Latencies count from the
  * planned time, so that a stalled system or a busy tool cannot hide waiting (coordinated omission).
  */
 export const runPlan = async (plan: readonly PlannedRequest[], options: Options): Promise<RunResults> => {
@@ -31,7 +31,7 @@
   const results: RequestResult[] = []
   const running: Array<Promise<void>> = []
 
-  const stopProgress = timers.every(PROGRESS_MS, () => onProgress({
+  const stopProgress = timers.every(PROGRESS_PERIOD_MS, () => onProgress({
     elapsedMs: timers.nowMs() - startMs, sentCount: running.length, endedCount: results.length, plannedCount: plan.length
   }))
 
