--- a/packages/capacity/src/measuring/measureInForce.ts
+++ b/packages/capacity/src/measuring/measureInForce.ts
@@ -7,21 +7,21 @@
 
 const AGENT_COUNTS = [1, 3, 7, 15] as const
 const CHANGE_COUNT = 20
-const WAIT_MS = 10_000
+const IN_FORCE_TIMEOUT_MS = 10_000
 
 const timers = createTimerService()
 
 const inForceCount = (site: Site, item: string): number =>
   new Set(site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === item).map(event => event.instance)).size
 
-const changeOnce = async (site: Site, index: number, processCount: number): Promise<number> => {
+const timeChange = async (site: Site, index: number, processCount: number): Promise<number> => {
   const { name, body } = callerItem(`caller-${index}`)
   const operator = operatorAt(site.routerAddresses()[0] ?? '', OPERATOR_KEY)
   const startedMs = timers.unixMs()
   await operator.apply({ items: [{ name, bodyJson: JSON.stringify(body), expectedVersion: 0n }], changeId: randomUUID() })
-  await site.rig.until(`${name} to be in force everywhere`, () => inForceCount(site, name) >= processCount, WAIT_MS)
-  const atMs = site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === name).map(event => event.atUnixMs)
-  return Math.max(...atMs) - startedMs
+  await site.rig.until(`${name} to be in force everywhere`, () => inForceCount(site, name) >= processCount, IN_FORCE_TIMEOUT_MS)
+  const inForceAtMs = site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === name).map(event => event.atUnixMs)
+  return Math.max(...inForceAtMs) - startedMs
 }
 
 const measureAt = async (agentCount: number): Promise<number> => {
@@ -29,9 +29,9 @@
   const site = await createSite({ name: `capacity-force-${agentCount}`, routers: [{ name: 'r1' }], agents })
   try {
     await site.apply([callerItem('crew')])
-    const tookMs: number[] = []
-    for (let index = 0; index < CHANGE_COUNT; index += 1) tookMs.push(await changeOnce(site, index, agentCount + 1))
-    return Math.max(...tookMs)
+    const durationsMs: number[] = []
+    for (let index = 0; index < CHANGE_COUNT; index += 1) durationsMs.push(await timeChange(site, index, agentCount + 1))
+    return Math.max(...durationsMs)
   } finally {
     await site.close()
   }
--- a/packages/capacity/src/measuring/measureLinks.ts
+++ b/packages/capacity/src/measuring/measureLinks.ts
@@ -3,18 +3,18 @@
 
 import { openBenchLinks } from '../../../router/src/bench/openBenchLinks.js'
 import { serveFakeAgents } from '../../../router/src/bench/serveFakeAgents.js'
-import { sleepAwake } from './sleepAwake.js'
+import { sleepKeepingAlive } from './sleepKeepingAlive.js'
 
 import type { ChildProcess } from 'node:child_process'
 import type { FakeAgentPlan } from '../../../router/src/bench/serveFakeAgents.js'
 import type { Measurement, Point } from '../slopes/types.js'
 
-/** Up to the bound of idle links. */
+/** Up to 30, the limit of idle links. */
 const LINK_COUNTS = [6, 12, 18, 24, 30] as const
 const MODEL_COUNT = 20
 const SETTLE_MS = 2_000
 const WINDOW_MS = 3_000
-/** The cheapest of several windows counts: compiling and collecting of garbage come in bursts that no link causes. */
+/** The cheapest of three windows is used: compilation and garbage collection come in bursts that links do not cause. */
 const WINDOW_COUNT = 3
 const MS_PER_SECOND = 1000
 
@@ -25,35 +25,35 @@
 
 const timers = createTimerService()
 
-/** Serves light agents for `measureLinks` in a process of its own; tells its bytes whenever asked. */
-export const serveForParent = async (plan: FakeAgentPlan): Promise<void> => {
+/** Serves light-weight fake agents in a child process; replies to every message with the bytes sent so far. */
+export const serveAgentsForParent = async (plan: FakeAgentPlan): Promise<void> => {
   const agents = await serveFakeAgents(plan)
   process.send?.(agents.addresses)
   process.on('message', () => { process.send?.(agents.wireBytes()) })
 }
 
-const answerOf = async <T>(child: ChildProcess): Promise<T> => await new Promise(resolve => {
+const nextMessage = async <T>(child: ChildProcess): Promise<T> => await new Promise(resolve => {
   child.once('message', message => resolve(message as T))
 })
 
 const measureWindow = async (child: ChildProcess): Promise<LinkCosts> => {
   child.send('bytes')
-  const bytesBefore = await answerOf<number>(child)
+  const bytesBefore = await nextMessage<number>(child)
   const cpuBefore = process.cpuUsage()
-  await sleepAwake(timers, WINDOW_MS)
+  await sleepKeepingAlive(timers, WINDOW_MS)
   const cpu = process.cpuUsage(cpuBefore)
   child.send('bytes')
-  const bytes = await answerOf<number>(child) - bytesBefore
+  const bytes = await nextMessage<number>(child) - bytesBefore
   const seconds = WINDOW_MS / MS_PER_SECOND
   return { bytesPerSecond: bytes / seconds, processorUsPerSecond: (cpu.user + cpu.system) / seconds }
 }
 
-const measureAt = async (agentCount: number, busy: boolean): Promise<LinkCosts> => {
-  const plan: FakeAgentPlan = { agentCount, modelCount: MODEL_COUNT, thin: true, busy, tokensPerFrame: 1 }
+const measureAt = async (agentCount: number, isBusy: boolean): Promise<LinkCosts> => {
+  const plan: FakeAgentPlan = { agentCount, modelCount: MODEL_COUNT, thin: true, busy: isBusy, tokensPerFrame: 1 }
   const child = fork(new URL('./runFakeAgents.ts', import.meta.url).pathname, [JSON.stringify(plan)], { execArgv: ['--import', 'tsx'] })
-  const addresses = await answerOf<readonly string[]>(child)
+  const addresses = await nextMessage<readonly string[]>(child)
   const links = await openBenchLinks(addresses)
-  await sleepAwake(timers, SETTLE_MS)
+  await sleepKeepingAlive(timers, SETTLE_MS)
   const windows: LinkCosts[] = []
   for (let index = 0; index < WINDOW_COUNT; index += 1) windows.push(await measureWindow(child))
   links.stop()
@@ -64,21 +64,21 @@
 
 const METHOD = `a router's links in one process, light agents with ${MODEL_COUNT} models in another, the cheapest of 3 windows of 3 s, without TCP/IP headers`
 
-/** The first run of a process pays for compiling; it is measured and left out. */
+/** The first run in a process includes compilation, so its result is discarded. */
 const warmUp = async (): Promise<void> => { await measureAt(LINK_COUNTS[0], true) }
 
-const measureKind = async (name: string, busy: boolean): Promise<readonly Measurement[]> => {
+const measureKind = async (name: string, isBusy: boolean): Promise<readonly Measurement[]> => {
   const costs: Array<readonly [size: number, LinkCosts]> = []
-  for (const count of LINK_COUNTS) costs.push([count, await measureAt(count, busy)])
+  for (const count of LINK_COUNTS) costs.push([count, await measureAt(count, isBusy)])
   const points = (read: (cost: LinkCosts) => number): readonly Point[] => costs.map(([size, cost]) => ({ size, value: read(cost) }))
-  const kind = busy ? 'one model changes with each report' : 'nothing changes'
+  const kind = isBusy ? 'one model changes with each report' : 'nothing changes'
   return [
     { name: `router.link.${name}.bytes`, unit: 'bytes/s', per: 'links', method: `${METHOD}; ${kind}`, points: points(cost => cost.bytesPerSecond) },
     { name: `router.link.${name}.processor`, unit: 'us/s', per: 'links', method: `${METHOD}; ${kind}`, points: points(cost => cost.processorUsPerSecond) }
   ]
 }
 
-/** What open links to agents cost a router, idle and busy, against their number. */
+/** Bytes and processor time that links to agents cost a router, idle and busy, against their number. */
 export const measureLinks = async (): Promise<readonly Measurement[]> => {
   await warmUp()
   return [...await measureKind('idle', false), ...await measureKind('busy', true)]
--- a/packages/capacity/src/measuring/measureRequests.ts
+++ b/packages/capacity/src/measuring/measureRequests.ts
@@ -28,7 +28,7 @@
   await Promise.all(Array.from({ length: CONCURRENCY }, sendOneByOne))
 }
 
-const costOf = async (site: Site, maxTokens: number): Promise<Costs> => {
+const measureCosts = async (site: Site, maxTokens: number): Promise<Costs> => {
   const router = site.router('r1').pid()
   const agent = site.agent('a1').pid()
   const before = { router: processorUsOf(router), agent: processorUsOf(agent) }
@@ -41,7 +41,7 @@
 
 const METHOD = `real processes, one router, one agent, ${REQUEST_COUNT} requests, ${CONCURRENCY} at a time, engine with 10 ms between tokens`
 
-/** Processor time of a request against its tokens: the slope is the cost of a token, the intercept that of a request. */
+/** Processor time of a request against its tokens: the slope is the cost per token, the intercept the cost per request. */
 export const measureRequests = async (): Promise<readonly Measurement[]> => {
   const site = await createSite({
     name: 'capacity-requests', routers: [{ name: 'r1' }], agents: [{ name: 'a1', services: ['s'], backendKeys: { batch_size: CONCURRENCY } }]
@@ -50,7 +50,7 @@
     await site.apply([callerItem('crew'), modelService('s', [{ name: 'm' }])])
     await sendAll(site, 'warm', REQUEST_COUNT / 4, 1)
     const costs: Array<readonly [size: number, Costs]> = []
-    for (const tokenCount of TOKEN_COUNTS) costs.push([tokenCount, await costOf(site, tokenCount)])
+    for (const tokenCount of TOKEN_COUNTS) costs.push([tokenCount, await measureCosts(site, tokenCount)])
     const points = (read: (cost: Costs) => number): readonly Point[] => costs.map(([size, cost]) => ({ size, value: read(cost) }))
     return [
       { name: 'router.request', unit: 'us', per: 'tokens', method: METHOD, points: points(cost => cost.routerUs) },
--- a/packages/capacity/src/measuring/measureSites.ts
+++ b/packages/capacity/src/measuring/measureSites.ts
@@ -2,7 +2,7 @@
 import { callerItem, createSite, modelService } from '@figmount/proof'
 
 import { processorUsOf, residentMbOf } from './readProcess.js'
-import { sleepAwake } from './sleepAwake.js'
+import { sleepKeepingAlive } from './sleepKeepingAlive.js'
 
 import type { Site } from '@figmount/proof'
 import type { Measurement, Point } from '../slopes/types.js'
@@ -12,19 +12,19 @@
 const MODELS_PER_SERVICE = 50
 const IDLE_MS = 10_000
 const SETTLE_MS = 3_000
-const US_PER_MS = 1000
+const MS_PER_SECOND = 1000
 const GRANT_TIMEOUT_MS = 60_000
 
-interface SiteFigures {
+interface SiteCosts {
   readonly routerMb: number
   readonly agentMb: number
-  /** Processor time in µs for each second without requests. */
+  /** Processor time in µs per second without requests. */
   readonly routerIdleUs: number
   readonly agentIdleUs: number
 }
 
-/** The default of the agent's settings; the rig reads the list far more often. */
-const DEFAULT_LIST_MS = 5_000
+/** Default of the agent's setting; the rig sets a far shorter poll period, which would raise the idle cost. */
+const DEFAULT_LIST_POLL_MS = 5_000
 
 const timers = createTimerService()
 
@@ -37,19 +37,19 @@
 
 const rightCount = (modelCount: number): number => modelCount * 3
 
-const measureSite = async (modelCount: number): Promise<SiteFigures> => {
+const measureSite = async (modelCount: number): Promise<SiteCosts> => {
   const services = Array.from({ length: Math.ceil(modelCount / MODELS_PER_SERVICE) }, (_, index) => `s${index}`)
-  const site = await createSite({ name: `capacity-${modelCount}`, routers: [{ name: 'r1' }], agents: ['a1', 'a2'].map(name => ({ name, services, sections: { tuning: { list_ms: DEFAULT_LIST_MS } } })) })
+  const site = await createSite({ name: `capacity-${modelCount}`, routers: [{ name: 'r1' }], agents: ['a1', 'a2'].map(name => ({ name, services, sections: { tuning: { list_ms: DEFAULT_LIST_POLL_MS } } })) })
   try {
     await configure(site, modelCount)
     await site.rig.until('every right to be granted', () =>
       site.rig.events.all().filter(event => event.name === 'proposalMade' && event.step === 'right.grant').length >= rightCount(modelCount), GRANT_TIMEOUT_MS)
-    await sleepAwake(timers, SETTLE_MS)
+    await sleepKeepingAlive(timers, SETTLE_MS)
     const router = site.router('r1').pid()
     const agent = site.agent('a1').pid()
     const before = { router: processorUsOf(router), agent: processorUsOf(agent) }
-    await sleepAwake(timers, IDLE_MS)
-    const seconds = IDLE_MS / US_PER_MS
+    await sleepKeepingAlive(timers, IDLE_MS)
+    const seconds = IDLE_MS / MS_PER_SECOND
     return {
       routerMb: residentMbOf(router),
       agentMb: residentMbOf(agent),
@@ -63,11 +63,11 @@
 
 const METHOD = `real processes, one router and two agents, models with 2 slots, a keys right and ${ADAPTERS_PER_MODEL} adapters each`
 
-/** State in real processes: memory and idle processor time against the number of rights. */
+/** Memory and idle processor time of real processes against the number of rights. */
 export const measureSites = async (): Promise<readonly Measurement[]> => {
-  const figures: Array<readonly [size: number, SiteFigures]> = []
+  const figures: Array<readonly [size: number, SiteCosts]> = []
   for (const modelCount of MODEL_COUNTS) figures.push([rightCount(modelCount), await measureSite(modelCount)])
-  const points = (read: (site: SiteFigures) => number): readonly Point[] => figures.map(([size, site]) => ({ size, value: read(site) }))
+  const points = (read: (site: SiteCosts) => number): readonly Point[] => figures.map(([size, site]) => ({ size, value: read(site) }))
   return [
     { name: 'router.memory', unit: 'MB', per: 'rights', method: `resident memory; ${METHOD}`, points: points(site => site.routerMb) },
     { name: 'agent.memory', unit: 'MB', per: 'rights', method: `resident memory; ${METHOD}`, points: points(site => site.agentMb) },
--- a/packages/capacity/src/measuring/runFakeAgents.ts
+++ b/packages/capacity/src/measuring/runFakeAgents.ts
@@ -1,6 +1,6 @@
-/** Child process of `measureLinks`. */
-import { serveForParent } from './measureLinks.js'
+/** Child process of `measureLinks`: serves the fake agents. */
+import { serveAgentsForParent } from './measureLinks.js'
 
 import type { FakeAgentPlan } from '../../../router/src/bench/serveFakeAgents.js'
 
-await serveForParent(JSON.parse(process.argv[2] ?? '') as FakeAgentPlan)
+await serveAgentsForParent(JSON.parse(process.argv[2] ?? '') as FakeAgentPlan)
--- a/packages/capacity/src/model/types.ts
+++ b/packages/capacity/src/model/types.ts
@@ -1,22 +1,22 @@
-/** One line of the page: what a role needs for one purpose at the target's size. */
+/** One row of the page: the resources a role needs for one purpose at the target size. */
 export interface CapacityRow {
   readonly what: string
-  /** The mechanism that carries it. */
+  /** The mechanism that does this work. */
   readonly mechanism: string
-  /** How the figure is worked out, with the names of the slopes. */
+  /** How the figure is computed, with the names of the slopes. */
   readonly from: string
   readonly processorUsPerSecond: number
   readonly bytesPerSecond: number
   readonly memoryMb: number
 }
 
-/** A role at the target's size against the budget for control. */
+/** Resources of a role at the target size. */
 export interface RoleCapacity {
   readonly role: string
   readonly state: string
   readonly messages: string
   readonly control: readonly CapacityRow[]
-  /** Work for requests; not part of the budget for control. */
+  /** Work for requests; not counted against the control budget. */
   readonly data: readonly CapacityRow[]
 }
 
--- a/packages/capacity/src/page/renderFailures.ts
+++ b/packages/capacity/src/page/renderFailures.ts
@@ -1,27 +1,27 @@
-import { SLOTS_PER_MODEL } from '../model/workOut.js'
+import { SLOTS_PER_MODEL } from '../model/computeCapacity.js'
 import { Target } from '../target/constants.js'
 
 import type { Slope } from '../slopes/types.js'
 
-/** Loads a second that the weight store of the larger deployment of today gives. */
+/** Loads per second of the weight store in the larger of today's deployments. */
 const STORE_LOADS_PER_SECOND = 4
-/** Runners in one rack, which the target does not state. */
+/** Runners in a rack; the target does not state it, so 16 is an assumption. */
 const RACK_SIZE = 16
-/** Share of a runner's slots whose models are loaded at a time, which the target does not state. */
+/** Models loaded on a runner at a time; the target does not state it, so one is an assumption. */
 const LOADED_MODELS_PER_RUNNER = 1
 
 const SECONDS_PER_MINUTE = 60
 
-const minutes = (loads: number): string => (loads / STORE_LOADS_PER_SECOND / SECONDS_PER_MINUTE).toFixed(1)
+const loadMinutes = (loads: number): string => (loads / STORE_LOADS_PER_SECOND / SECONDS_PER_MINUTE).toFixed(1)
 
 const slotsPerAgent = Target.modelCount * SLOTS_PER_MODEL / Target.agentCount
 
-const row = (what: string, notices: string, moves: string, agentCount: number): string => {
+const row = (what: string, detection: string, effect: string, agentCount: number): string => {
   const loads = agentCount * LOADED_MODELS_PER_RUNNER
-  return `| ${what} | ${notices} | ${moves} | ${Math.round(agentCount * (slotsPerAgent + 1))} records | ${loads} | ${minutes(loads)} min |`
+  return `| ${what} | ${detection} | ${effect} | ${Math.round(agentCount * (slotsPerAgent + 1))} records | ${loads} | ${loadMinutes(loads)} min |`
 }
 
-/** The failures of an ordinary day and the rare ones, worked through. */
+/** Renders the table of daily and rare failures: detection, effect, appends and loads. */
 export const renderFailures = (slopes: readonly Slope[]): string => {
   const rebuild = slopes.find(slope => slope.name === 'records.rebuild')
   const rebuildMs = rebuild ? Math.round(rebuild.intercept + rebuild.slope * Target.modelCount * (SLOTS_PER_MODEL + 1)) : 0
--- a/packages/capacity/src/page/renderPage.ts
+++ b/packages/capacity/src/page/renderPage.ts
@@ -1,5 +1,5 @@
 import { Budget, Target } from '../target/constants.js'
-import { totalOf, workOut } from '../model/workOut.js'
+import { sumControl, computeCapacity } from '../model/computeCapacity.js'
 import { renderFailures } from './renderFailures.js'
 import { CONCLUSIONS, INTRODUCTION } from './texts.js'
 
@@ -9,8 +9,8 @@
 const US_PER_SECOND = 1_000_000
 const PERCENT = 100
 
-/** A figure with three significant digits, without an exponent. */
-export const show = (value: number): string => {
+/** Formats a figure with three significant digits and without an exponent; 0 becomes empty. */
+export const formatFigure = (value: number): string => {
   if (value === 0) return ''
   const rounded = Number(value.toPrecision(3))
   return rounded.toLocaleString('en', { maximumFractionDigits: 5 })
@@ -23,17 +23,17 @@
 ].join('\n')
 
 const cellsOf = (row: CapacityRow): readonly string[] => [
-  row.what, row.mechanism, row.from, show(row.processorUsPerSecond / US_PER_SECOND * PERCENT), show(row.bytesPerSecond), show(row.memoryMb)
+  row.what, row.mechanism, row.from, formatFigure(row.processorUsPerSecond / US_PER_SECOND * PERCENT), formatFigure(row.bytesPerSecond), formatFigure(row.memoryMb)
 ]
 
-const verdictOf = (used: number, budget: number): string => used <= budget ? 'fits' : `does not fit, ${(used / budget).toFixed(1)} times the budget`
+const compareWithBudget = (used: number, budget: number): string => used <= budget ? 'fits' : `does not fit, ${(used / budget).toFixed(1)} times the budget`
 
 const totalRows = (role: RoleCapacity): ReadonlyArray<readonly string[]> => {
-  const total = totalOf(role)
+  const total = sumControl(role)
   return [
-    ['processor, % of a core', show(total.coreShare * PERCENT), show(Budget.coreShare * PERCENT), verdictOf(total.coreShare, Budget.coreShare)],
-    ['bytes/s', show(total.bytesPerSecond), show(Budget.bytesPerSecond), verdictOf(total.bytesPerSecond, Budget.bytesPerSecond)],
-    ['memory, MB', show(total.memoryMb), show(Budget.memoryMb), verdictOf(total.memoryMb, Budget.memoryMb)]
+    ['processor, % of a core', formatFigure(total.coreShare * PERCENT), formatFigure(Budget.coreShare * PERCENT), compareWithBudget(total.coreShare, Budget.coreShare)],
+    ['bytes/s', formatFigure(total.bytesPerSecond), formatFigure(Budget.bytesPerSecond), compareWithBudget(total.bytesPerSecond, Budget.bytesPerSecond)],
+    ['memory, MB', formatFigure(total.memoryMb), formatFigure(Budget.memoryMb), compareWithBudget(total.memoryMb, Budget.memoryMb)]
   ]
 }
 
@@ -54,8 +54,8 @@
 
 const renderSlopes = (slopes: readonly Slope[]): string => {
   const rows = slopes.map(slope => [
-    slope.name, slope.unit, slope.per, show(slope.intercept) || '0', `${show(slope.slope) || '0'} ± ${show(slope.slopeError) || '0'}`,
-    slope.fit.toFixed(2), `${slope.pointCount}, up to ${show(slope.largestSize)}`, slope.method
+    slope.name, slope.unit, slope.per, formatFigure(slope.intercept) || '0', `${formatFigure(slope.slope) || '0'} ± ${formatFigure(slope.slopeError) || '0'}`,
+    slope.fit.toFixed(2), `${slope.pointCount}, up to ${formatFigure(slope.largestSize)}`, slope.method
   ])
   return `## Slopes\n\n${table(['name', 'unit', 'against', 'intercept', 'slope ± error', 'fit', 'sizes', 'method'], rows)}`
 }
@@ -64,17 +64,17 @@
   const slope = slopes.find(one => one.name === 'config.inForce')
   if (!slope) return ''
   const worst = slope.intercept + slope.slope * slope.largestSize
-  return `## Configuration in force\n\nMeasured up to ${slope.largestSize} processes: ${show(worst)} ms at that size by the fitted line, ` +
-    `${show(slope.slope)} ± ${show(slope.slopeError)} ms for each further process, against ${show(Target.inForceMs)} ms. Every process reads the log itself by ` +
+  return `## Configuration in force\n\nMeasured up to ${slope.largestSize} processes: ${formatFigure(worst)} ms at that size by the fitted line, ` +
+    `${formatFigure(slope.slope)} ± ${formatFigure(slope.slopeError)} ms for each further process, against ${formatFigure(Target.inForceMs)} ms. Every process reads the log itself by ` +
     'long poll, so the time is one append and one answer; the line is not carried on to 7,550 processes, since what then counts is how fast the platform\'s log ' +
     'answers that many long polls, which a stand-in cannot show.'
 }
 
-/** The whole page docs/CAPACITY.md from measured slopes and what is known of the users' platform. */
+/** Renders docs/CAPACITY.md from measured slopes and the text about the users' platform. */
 export const renderPage = (slopes: readonly Slope[], platform: string): string => [
   INTRODUCTION,
   platform.trim(),
-  ...workOut(slopes).map(renderRole),
+  ...computeCapacity(slopes).map(renderRole),
   renderInForce(slopes),
   renderFailures(slopes),
   CONCLUSIONS,
--- a/packages/capacity/src/page/texts.ts
+++ b/packages/capacity/src/page/texts.ts
@@ -1,4 +1,4 @@
-/** Head of the page. */
+/** Introduction of the page. */
 export const INTRODUCTION = `# Capacity
 
 The size that figmount is designed for: 350 daemons (routers) before 7,200 runners on 7,200 accelerators, each runner with
@@ -13,7 +13,7 @@
 capacity:measure\` measures them anew into \`docs/capacity/measurements.json\`, \`npm run capacity:page\` works out this page
 from that file, and CI fails when the page is not what the file gives. Bytes are without TCP/IP headers.`
 
-/** What follows from the tables. */
+/** Conclusions from the tables. */
 export const CONCLUSIONS = `## What does not fit yet
 
 - **Processor at rest.** Both roles take more than their budget before a single request comes. The time goes to periodic work:
--- a/packages/capacity/src/slopes/fitSlope.ts
+++ b/packages/capacity/src/slopes/fitSlope.ts
@@ -5,12 +5,12 @@
 import type { Fault } from '@figmount/base'
 import type { Measurement, Slope } from './types.js'
 
-/** Fewer sizes cannot show whether a line fits. */
+/** With fewer sizes it cannot be seen whether a line fits. */
 export const MIN_POINT_COUNT = 4
 
 const meanOf = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length
 
-/** Fits a line by least squares. Refuses a measurement of fewer than MIN_POINT_COUNT sizes. */
+/** Fits a line by least squares. Fails for measurements at fewer than MIN_POINT_COUNT sizes. */
 export const fitSlope = (measurement: Measurement): Either<Fault, Slope> => {
   const { name, unit, per, method, points } = measurement
   const sizes = points.map(point => point.size)
--- a/packages/capacity/src/slopes/types.ts
+++ b/packages/capacity/src/slopes/types.ts
@@ -4,15 +4,15 @@
   readonly value: number
 }
 
-/** A measured quantity over at least four sizes. */
+/** A quantity measured at four or more sizes. */
 export interface Measurement {
   /** Unique name, such as `router.heartbeat.cpu`. */
   readonly name: string
   /** Unit of the value, such as `us/s` or `bytes`. */
   readonly unit: string
-  /** What was varied, such as `links`. */
+  /** The quantity that was varied, such as `links`. */
   readonly per: string
-  /** How it was measured, one sentence. */
+  /** How it was measured, in one sentence. */
   readonly method: string
   readonly points: readonly Point[]
 }
@@ -26,10 +26,10 @@
   readonly pointCount: number
   readonly largestSize: number
   readonly intercept: number
-  /** Growth of the value for each unit of size. */
+  /** Increase of the value per unit of size. */
   readonly slope: number
   /** Standard error of the slope. */
   readonly slopeError: number
-  /** Share of the variance that the line explains. */
+  /** Share of the variance that the line explains (R²). */
   readonly fit: number
 }
--- a/packages/capacity/src/target/constants.ts
+++ b/packages/capacity/src/target/constants.ts
@@ -1,4 +1,4 @@
-/** The size that the system is designed for, from the users' first letter. */
+/** The size that the system is designed for, from the users' requirements. */
 export const Target = {
   routerCount: 350,
   agentCount: 7_200,
@@ -8,8 +8,8 @@
   tokenGapMs: 66,
   modelCount: 1_200,
   adapterCount: 29_000,
-  /** Share of models and adapters that wake up or fall idle within an hour. */
-  wakeShareHour: 0.11,
+  /** Share of models and adapters that become active or idle within an hour. */
+  activityChangeSharePerHour: 0.11,
   regionCount: 3,
   dataCentreCount: 8,
   changesPerDay: 8_200,
@@ -18,7 +18,7 @@
   restartsPerDay: 610
 } as const
 
-/** What control may cost in one process. */
+/** Budget of the control plane's work in each process. */
 export const Budget = {
   coreShare: 0.025,
   memoryMb: 256,
