--- a/packages/capacity/src/measuring/measureLinks.ts
+++ b/packages/capacity/src/measuring/measureLinks.ts
@@ -25,7 +25,7 @@
 
 const timers = createTimerService()
 
-/** Serves light-weight fake agents in a child process; replies to every message with the bytes sent so far. */
+/** Serves light-weight fake agents in a child process; replies to every message with the bytes on its links so far. */
 export const serveAgentsForParent = async (plan: FakeAgentPlan): Promise<void> => {
   const agents = await serveFakeAgents(plan)
   process.send?.(agents.addresses)
--- a/packages/capacity/src/slopes/fitSlope.test.ts
+++ b/packages/capacity/src/slopes/fitSlope.test.ts
@@ -8,7 +8,7 @@
   name: 'n', unit: 'us', per: 'links', method: 'm', points: values.map((value, index) => ({ size: index + 1, value }))
 })
 
-describe('fitSlope', () => {
+describe('slope', () => {
   it('is exact on a line', () => {
     const slope = fitSlope(measured(12, 14, 16, 18)).unsafeCoerce()
     expect(slope.slope).to.be.closeTo(2, 1e-9)
@@ -16,11 +16,11 @@
     expect(slope.slopeError).to.be.closeTo(0, 1e-9)
   })
 
-  it('reports an error for scattered points', () => {
+  it('has an error on scattered points', () => {
     expect(fitSlope(measured(12, 15, 15, 18)).unsafeCoerce().slopeError).to.be.greaterThan(0.1)
   })
 
-  it('rejects fewer than four sizes', () => {
+  it('cannot be fitted to fewer than four sizes', () => {
     expect(fitSlope(measured(1, 2, 3)).isLeft()).to.equal(true)
   })
 })
--- a/packages/client/src/calling/createCaller.ts
+++ b/packages/client/src/calling/createCaller.ts
@@ -36,8 +36,8 @@
 
 /**
  * The issue time and resend count after a refusal. "Not run" means that no send of the key has run, so it counts as
- * newly issued. After any other refusal both values must be kept: from them a new holder of the key's right tells
- * whether an earlier holder may have started the request.
+ * newly issued. After any other refusal the issue time stays and the count increases: from them a new holder of the key's
+ * right derives whether an earlier holder may have started the request.
  */
 export const nextIssuance = (issuance: Issuance, refusal: Refusal, nowUnixMs: number): Issuance =>
   refusal.runState === RunState.NOT_RUN
