--- a/packages/capacity/src/measuring/measureInForce.ts
+++ b/packages/capacity/src/measuring/measureInForce.ts
@@ -19,7 +19,7 @@
   const operator = operatorAt(site.routerAddresses()[0] ?? '', OPERATOR_KEY)
   const startedMs = timers.unixMs()
   await operator.apply({ items: [{ name, bodyJson: JSON.stringify(body), expectedVersion: 0n }], changeId: randomUUID() })
-  await site.rig.until(`${name} to be in force everywhere`, () => inForceCount(site, name) >= processCount, IN_FORCE_TIMEOUT_MS)
+  await site.rig.waitUntil(`${name} to be in force everywhere`, () => inForceCount(site, name) >= processCount, IN_FORCE_TIMEOUT_MS)
   const inForceAtMs = site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === name).map(event => event.atUnixMs)
   return Math.max(...inForceAtMs) - startedMs
 }
--- a/packages/capacity/src/measuring/measureRequests.ts
+++ b/packages/capacity/src/measuring/measureRequests.ts
@@ -1,5 +1,5 @@
 import { createTimerService } from '@figmount/base'
-import { ask, callerItem, createSite, modelService } from '@figmount/proof'
+import { sendUntilEnded, callerItem, createSite, modelService } from '@figmount/proof'
 
 import { processorUsOf } from './readProcess.js'
 
@@ -21,7 +21,7 @@
   let next = 0
   const sendOneByOne = async (): Promise<void> => {
     while (next < count) {
-      const outcome = await ask(site.routerAddresses, { service: 's', model: 'm', prompt: `${name} ${next++}`, maxTokens })
+      const outcome = await sendUntilEnded(site.routerAddresses, { service: 's', model: 'm', prompt: `${name} ${next++}`, maxTokens })
       if (outcome.last.kind !== 'answered') throw new Error(`a request of the measurement was ${outcome.last.kind}`)
     }
   }
--- a/packages/capacity/src/measuring/measureSites.ts
+++ b/packages/capacity/src/measuring/measureSites.ts
@@ -42,7 +42,7 @@
   const site = await createSite({ name: `capacity-${modelCount}`, routers: [{ name: 'r1' }], agents: ['a1', 'a2'].map(name => ({ name, services, sections: { tuning: { list_ms: DEFAULT_LIST_POLL_MS } } })) })
   try {
     await configure(site, modelCount)
-    await site.rig.until('every right to be granted', () =>
+    await site.rig.waitUntil('every right to be granted', () =>
       site.rig.events.all().filter(event => event.name === 'proposalMade' && event.step === 'right.grant').length >= rightCount(modelCount), GRANT_TIMEOUT_MS)
     await sleepKeepingAlive(timers, SETTLE_MS)
     const router = site.router('r1').pid()
--- a/packages/proof/src/path/operatorTool.test.ts
+++ b/packages/proof/src/path/operatorTool.test.ts
@@ -71,7 +71,7 @@
   })
 
   it('shows status and explains a refusal', async () => {
-    await site.rig.until('the slot to be granted', async () => (await ctl('status')).out.includes('granted'))
+    await site.rig.waitUntil('the slot to be granted', async () => (await ctl('status')).out.includes('granted'))
     const { out } = await ctl('status')
     expect(out).to.contain('a1').and.to.contain('readers/cracks').and.to.contain('log: reachable')
     expect((await sendToSite(site, { service: 'readers', model: 'cracks', prompt: 'wall', requestKey: 'seen' })).last.kind).to.equal('answered')
--- a/packages/proof/src/promises/configuration.test.ts
+++ b/packages/proof/src/promises/configuration.test.ts
@@ -30,7 +30,7 @@
 
   /** The guarantee says "within seconds"; the limit is generous, since the machine is shared. */
   const inForce = async (router: string, version: bigint): Promise<void> =>
-    await site.rig.until(`version ${version} at ${router}`, async () => (await itemAt(router))?.version === version, 10_000)
+    await site.rig.waitUntil(`version ${version} at ${router}`, async () => (await itemAt(router))?.version === version, 10_000)
 
   // Two operators change the same item at two routers at once. One succeeds, the other receives the winning version.
   it('when operators race', async () => {
@@ -91,7 +91,7 @@
     await site.log.command({ action: 'outage', on: true })
     await site.router('r2').kill()
     await site.router('r2').restart()
-    await site.rig.until('r2 to have the item', async () => await itemAt('r2').then(item => item !== undefined, () => false))
+    await site.rig.waitUntil('r2 to have the item', async () => await itemAt('r2').then(item => item !== undefined, () => false))
     expect((await itemAt('r2'))?.version).to.equal(2n)
   })
 
@@ -103,7 +103,7 @@
     expect(outcome).to.be.instanceOf(Error)
     await site.log.command({ action: 'outage', on: false })
     const changeId = randomUUID()
-    await site.rig.until('the change to be accepted', async () => await applyAt('r1', withModels('down'), 1n, changeId).then(done => done?.accepted === true || done?.current?.version === 2n, () => false))
+    await site.rig.waitUntil('the change to be accepted', async () => await applyAt('r1', withModels('down'), 1n, changeId).then(done => done?.accepted === true || done?.current?.version === 2n, () => false))
     await inForce('r2', 2n)
   })
 })
--- a/packages/proof/src/promises/memory.test.ts
+++ b/packages/proof/src/promises/memory.test.ts
@@ -4,7 +4,7 @@
 import { modelService } from '../rig/sitePlan.js'
 import { sendMany, expectAnswered, expectWithinBounds, SERVICE, SLOW_STORE, startSmallSite } from '../rig/smallSite.js'
 
-import type { AskOutcome } from '../rig/callTypes.js'
+import type { RequestOutcome } from '../rig/callTypes.js'
 import type { Site } from '../rig/createSite.js'
 
 const MODELS = ['m1', 'm2', 'm3', 'm4'] as const
@@ -14,7 +14,7 @@
 
 const items = [modelService(SERVICE, MODELS.map(name => ({ name })))]
 
-const askAll = async (site: Site, count: number): Promise<readonly AskOutcome[]> =>
+const askAll = async (site: Site, count: number): Promise<readonly RequestOutcome[]> =>
   (await Promise.all(MODELS.map(async model => await sendMany(site, count, `wall ${model}`, { model, deadlineMs: 30_000 })))).flat()
 
 describe('memory is never overcommitted', () => {
--- a/packages/proof/src/promises/plainCalls.test.ts
+++ b/packages/proof/src/promises/plainCalls.test.ts
@@ -39,7 +39,7 @@
 
   const callUntilServed = async (router: string, key: string): Promise<Response> => {
     let response = await call(router, key, 0)
-    await site.rig.until('the call to be served', async () => {
+    await site.rig.waitUntil('the call to be served', async () => {
       if (response.ok) return true
       issuedAtMs = Date.now()
       response = await call(router, key, 0)
--- a/packages/proof/src/promises/replicaSpread.test.ts
+++ b/packages/proof/src/promises/replicaSpread.test.ts
@@ -40,7 +40,7 @@
 const appendGrants = async (site: Site, service: ConfigChange, grants: readonly Grant[]): Promise<void> => {
   const log = openLog(site.log.address, createTimerService())
   let incarnations: ReadonlyMap<string, Incarnation> = new Map()
-  await site.rig.until('the agents to be on the log', async () => {
+  await site.rig.waitUntil('the agents to be on the log', async () => {
     incarnations = await readIncarnations(log)
     return grants.every(([, agent]) => incarnations.has(agent))
   })
--- a/packages/proof/src/promises/stopping.test.ts
+++ b/packages/proof/src/promises/stopping.test.ts
@@ -5,14 +5,14 @@
 import { modelService } from '../rig/sitePlan.js'
 import { sendMany, expectAnswered, expectWithinBounds, MODEL, SERVICE, SLOW_STORE, SLOW_TOKENS, startCaller, startSmallSite, waitForLoad, waitForRun, warmUp } from '../rig/smallSite.js'
 
-import type { AskOutcome } from '../rig/callTypes.js'
+import type { RequestOutcome } from '../rig/callTypes.js'
 import type { Site } from '../rig/createSite.js'
 
 const SLOW_AGENTS = ['a1', 'a2'].map(name => ({ name, services: [SERVICE], backendKeys: { ...SLOW_TOKENS, batch_size: 32 } }))
 const LONG = { maxTokens: 100 } as const
 
 /** Prompts of requests with a send that ended without an answer or a refusal. */
-const cutAmong = (outcomes: readonly AskOutcome[]): readonly string[] =>
+const cutAmong = (outcomes: readonly RequestOutcome[]): readonly string[] =>
   outcomes.flatMap(({ plan, sends }) => sends.some(send => send.kind === 'broken') ? [plan.prompt] : [])
 
 describe('a planned stop cuts no request', () => {
--- a/packages/proof/src/rig/callOnce.ts
+++ b/packages/proof/src/rig/callOnce.ts
@@ -5,7 +5,7 @@
 import { callerKey, DEFAULT_CALLER } from './operate.js'
 
 import type { AnswerFrame, Final, Refusal } from '@figmount/schema'
-import type { AskPlan, CallOutcome } from './callTypes.js'
+import type { RequestPlan, CallOutcome } from './callTypes.js'
 
 const timers = createTimerService()
 
@@ -44,7 +44,7 @@
 }
 
 /** Builds the request message of one send. */
-export const makeRequest = (plan: AskPlan & { readonly requestKey: string }): object => ({
+export const makeRequest = (plan: RequestPlan & { readonly requestKey: string }): object => ({
   requestKey: plan.requestKey,
   issuedAtMs: BigInt(plan.issuedAtMs ?? timers.unixMs()),
   deadlineMs: plan.deadlineMs ?? 20_000,
@@ -60,7 +60,7 @@
 })
 
 /** Sends a request once, reads its answer to the end and checks every frame. */
-export const callOnce = async (address: string, plan: AskPlan & { readonly requestKey: string }, signal?: AbortSignal): Promise<CallOutcome> => {
+export const callOnce = async (address: string, plan: RequestPlan & { readonly requestKey: string }, signal?: AbortSignal): Promise<CallOutcome> => {
   const transport = createTransport({ address, bearerKey: callerKey(plan.caller ?? DEFAULT_CALLER) })
   const startedMs = timers.nowMs()
   let firstTokenMs = -1
--- a/packages/proof/src/rig/callTypes.ts
+++ b/packages/proof/src/rig/callTypes.ts
@@ -1,7 +1,7 @@
 import type { Final, Refusal } from '@figmount/schema'
 
 /** A test's request; `makeRequest` fills in the defaults. */
-export interface AskPlan {
+export interface RequestPlan {
   readonly service: string
   readonly model: string
   readonly prompt: string
@@ -31,8 +31,8 @@
 }
 
 /** Result of a request over all its sends. */
-export interface AskOutcome {
-  readonly plan: AskPlan & { readonly requestKey: string }
+export interface RequestOutcome {
+  readonly plan: RequestPlan & { readonly requestKey: string }
   /** Result of the last send, which is the result of the request. */
   readonly last: CallOutcome
   readonly sends: readonly CallOutcome[]
--- a/packages/proof/src/rig/createRig.ts
+++ b/packages/proof/src/rig/createRig.ts
@@ -45,7 +45,7 @@
       return started
     },
     processes: () => processes,
-    until: async (what, check, timeoutMs = WAIT_TIMEOUT_MS) => {
+    waitUntil: async (what, check, timeoutMs = WAIT_TIMEOUT_MS) => {
       const deadlineMs = timers.nowMs() + timeoutMs
       while (!await check()) {
         if (timers.nowMs() > deadlineMs) throw new Error(`timed out after ${timeoutMs} ms waiting for: ${what} (events in ${folder})`)
--- a/packages/proof/src/rig/operate.ts
+++ b/packages/proof/src/rig/operate.ts
@@ -33,7 +33,7 @@
     // If the response to an earlier try was lost, the item already exists at version 1.
     return response.outcomes.every(outcome => outcome.accepted || outcome.current?.version === 1n)
   }
-  await rig.until('the configuration to be accepted', tryApply).catch((error: Error) => { throw new Error(`${error.message}: ${last}`) })
+  await rig.waitUntil('the configuration to be accepted', tryApply).catch((error: Error) => { throw new Error(`${error.message}: ${last}`) })
 }
 
 /** Status from one router; undefined while the router does not answer. */
--- a/packages/proof/src/rig/ask.ts
+++ b/packages/proof/src/rig/sendUntilEnded.ts
@@ -5,7 +5,7 @@
 
 import { callOnce } from './callOnce.js'
 
-import type { AskOutcome, AskPlan, CallOutcome } from './callTypes.js'
+import type { RequestOutcome, RequestPlan, CallOutcome } from './callTypes.js'
 
 const timers = createTimerService()
 
@@ -18,7 +18,7 @@
 /** Wait before a resend when the refusal has no retry time or the connection broke. */
 const RESEND_WAIT_MS = 200
 
-type KeyedPlan = AskPlan & { readonly requestKey: string, readonly issuedAtMs: number, readonly resendCount: number }
+type KeyedPlan = RequestPlan & { readonly requestKey: string, readonly issuedAtMs: number, readonly resendCount: number }
 
 /** True when the request must be sent again; its request key makes that safe. */
 const shouldResend = (outcome: CallOutcome): boolean => {
@@ -38,7 +38,7 @@
 }
 
 /** Sends a request until it is answered, refused without a retry time, or out of time; each send goes to the next router. */
-export const ask = async (addresses: () => readonly string[], plan: AskPlan, timeoutMs = GIVE_UP_MS): Promise<AskOutcome> => {
+export const sendUntilEnded = async (addresses: () => readonly string[], plan: RequestPlan, timeoutMs = GIVE_UP_MS): Promise<RequestOutcome> => {
   const startedMs = timers.nowMs()
   let keyed: KeyedPlan = { resendCount: 0, ...plan, issuedAtMs: plan.issuedAtMs ?? timers.unixMs(), requestKey: plan.requestKey ?? randomUUID() }
   const firstRouter = routerOffset(keyed.requestKey)
@@ -59,7 +59,7 @@
 const routerOffset = (requestKey: string): number => requestKey.charCodeAt(0) + requestKey.charCodeAt(requestKey.length - 1)
 
 /** Lists what is wrong with an outcome that should be a complete answer; empty if nothing is. */
-export const faultsOf = ({ plan, last, sends }: AskOutcome): readonly string[] => {
+export const listAnswerFaults = ({ plan, last, sends }: RequestOutcome): readonly string[] => {
   const faults = sends.flatMap(send => send.faults)
   if (last.kind !== 'answered') {
     const why = last.refusal ? `refused: ${last.refusal.detail} at ${last.refusal.step}` : last.error ?? 'broken'
--- a/packages/proof/src/rig/smallSite.ts
+++ b/packages/proof/src/rig/smallSite.ts
@@ -2,14 +2,14 @@
 import { expect } from 'chai'
 
 import { checkEngines } from '../checks/checkEngines.js'
-import { ask, faultsOf } from './ask.js'
+import { sendUntilEnded, listAnswerFaults } from './sendUntilEnded.js'
 import { createSite, OPERATOR_KEY } from './createSite.js'
 import { callerItem, DEFAULT_CALLER, statusAt } from './operate.js'
 import { modelService } from './sitePlan.js'
 
 import type { EventRecord } from '@figmount/base'
 import type { StatusResponse } from '@figmount/schema'
-import type { AskOutcome, AskPlan } from './callTypes.js'
+import type { RequestOutcome, RequestPlan } from './callTypes.js'
 import type { Site } from './createSite.js'
 import type { AgentPlan, ConfigChange, SitePlan } from './sitePlan.js'
 
@@ -54,7 +54,7 @@
 
 /** Waits until the status of every router lists that many instances and that many granted replica slots. */
 const waitUntilSettled = async (site: Site, instanceCount: number, slotCount: number): Promise<void> =>
-  await site.rig.until(`${slotCount} rights at all routers`, async () => {
+  await site.rig.waitUntil(`${slotCount} rights at all routers`, async () => {
     const all = await Promise.all(site.routerAddresses().map(async address => await statusAt(address, OPERATOR_KEY)))
     return all.every(status => isSettled(status, instanceCount, slotCount))
   })
@@ -82,22 +82,22 @@
 }
 
 /** Sends a request until it is answered or finally refused, to the routers in turn. */
-export const sendToSite = async (site: Site, plan: Partial<AskPlan> & { readonly prompt: string }, timeoutMs?: number): Promise<AskOutcome> =>
-  await ask(site.routerAddresses, { service: SERVICE, model: MODEL, ...plan }, timeoutMs)
+export const sendToSite = async (site: Site, plan: Partial<RequestPlan> & { readonly prompt: string }, timeoutMs?: number): Promise<RequestOutcome> =>
+  await sendUntilEnded(site.routerAddresses, { service: SERVICE, model: MODEL, ...plan }, timeoutMs)
 
 /** Sends requests until slots are granted and the model is loaded, so that a test starts from a settled site. */
 export const warmUp = async (site: Site): Promise<void> => {
-  const plan: Partial<AskPlan> & { readonly prompt: string } = { prompt: 'warm up', maxTokens: 2 }
+  const plan: Partial<RequestPlan> & { readonly prompt: string } = { prompt: 'warm up', maxTokens: 2 }
   expectAnswered([await sendToSite(site, plan), await sendToSite(site, { ...plan, prompt: 'warm up once', repeatable: false })])
 }
 
 /** Sends `count` requests at once, each with its own prompt. */
-export const sendMany = (site: Site, count: number, prompt: string, plan: Partial<AskPlan> = {}, timeoutMs?: number): Promise<AskOutcome[]> =>
+export const sendMany = (site: Site, count: number, prompt: string, plan: Partial<RequestPlan> = {}, timeoutMs?: number): Promise<RequestOutcome[]> =>
   Promise.all(Array.from({ length: count }, async (_, index) => await sendToSite(site, { ...plan, prompt: `${prompt} ${index}` }, timeoutMs)))
 
 /** Fails unless every outcome is the complete, correct answer to its request. */
-export const expectAnswered = (outcomes: readonly AskOutcome[]): void => {
-  expect(outcomes.flatMap(faultsOf)).to.deep.equal([])
+export const expectAnswered = (outcomes: readonly RequestOutcome[]): void => {
+  expect(outcomes.flatMap(listAnswerFaults)).to.deep.equal([])
 }
 
 /** Fails if any model had more than `maxReplicas` replicas loaded at one moment, or an engine's memory was overcommitted. */
@@ -128,14 +128,14 @@
 /** A closed-loop caller: sends its next request as soon as the last one has ended. */
 export interface SteadyCaller {
   /** Stops after the current request and returns all outcomes. */
-  readonly stop: () => Promise<readonly AskOutcome[]>
+  readonly stop: () => Promise<readonly RequestOutcome[]>
 }
 
 /** Starts a steady caller whose prompts begin with `name`. */
-export const startCaller = (site: Site, name: string, plan: Partial<AskPlan> = {}): SteadyCaller => {
+export const startCaller = (site: Site, name: string, plan: Partial<RequestPlan> = {}): SteadyCaller => {
   const stopping = new AbortController()
-  const run = async (): Promise<readonly AskOutcome[]> => {
-    const outcomes: AskOutcome[] = []
+  const run = async (): Promise<readonly RequestOutcome[]> => {
+    const outcomes: RequestOutcome[] = []
     while (!stopping.signal.aborted) outcomes.push(await sendToSite(site, { ...plan, prompt: `${name} ${outcomes.length}` }))
     return outcomes
   }
--- a/packages/proof/src/rig/types.ts
+++ b/packages/proof/src/rig/types.ts
@@ -67,6 +67,6 @@
   readonly start: (plan: ProcessPlan) => Promise<RigProcess>
   readonly processes: () => readonly RigProcess[]
   /** Waits until `check` returns true, polling every POLL_MS. */
-  readonly until: (what: string, check: () => Promise<boolean> | boolean, timeoutMs?: number) => Promise<void>
+  readonly waitUntil: (what: string, check: () => Promise<boolean> | boolean, timeoutMs?: number) => Promise<void>
   readonly close: () => Promise<void>
 }
--- a/scripts/bench/measureAll.ts
+++ b/scripts/bench/measureAll.ts
@@ -24,7 +24,7 @@
   })
   try {
     await site.apply([callerItem('crew'), modelService(SERVICE, models.map(model => ({ name: model })))])
-    await site.rig.until('every slot to be granted', () =>
+    await site.rig.waitUntil('every slot to be granted', () =>
       site.rig.events.all().filter(event => event.name === 'proposalMade').length >= models.length, READY_MS)
     return site
   } catch (error) {
@@ -56,7 +56,7 @@
 const measurePath = async (site: Site): Promise<readonly BenchRow[]> => {
   const calls = createCalls(site)
   // The first request loads the model; the engine's own RPC needs it resident.
-  await site.rig.until('the first answer', async () => await calls.stream(1)().then(() => true, () => false), READY_MS)
+  await site.rig.waitUntil('the first answer', async () => await calls.stream(1)().then(() => true, () => false), READY_MS)
   const latency = await timed('latency', async () => await measureLatency(calls))
   const rpc = await timed('rpc', async () => await measureRpc(calls))
   const processor = await timed('processor', async () => await measureProcessor(site, calls))
--- a/scripts/bench/measureRecords.ts
+++ b/scripts/bench/measureRecords.ts
@@ -1,5 +1,5 @@
 import { createTimerService, sleep } from '@figmount/base'
-import { ask, callerItem } from '@figmount/proof'
+import { sendUntilEnded, callerItem } from '@figmount/proof'
 
 import { MODEL, SERVICE } from './constants.js'
 
@@ -22,7 +22,7 @@
 }
 
 const askFor = async (site: Site, model: string, prompt: string, repeatable: boolean): Promise<void> => {
-  const { last } = await ask(site.routerAddresses, { service: SERVICE, model, prompt, repeatable, maxTokens: 1 })
+  const { last } = await sendUntilEnded(site.routerAddresses, { service: SERVICE, model, prompt, repeatable, maxTokens: 1 })
   if (last.kind !== 'answered') throw new Error(`${prompt} was ${last.kind}`)
 }
 
@@ -31,7 +31,7 @@
   const startedMs = timers.unixMs()
   await site.apply([change])
   const inForce = () => site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === change.name)
-  await site.rig.until(`${change.name} to be in force`, () => new Set(inForce().map(event => event.instance)).size >= processCount)
+  await site.rig.waitUntil(`${change.name} to be in force`, () => new Set(inForce().map(event => event.instance)).size >= processCount)
   return Math.max(...inForce().map(event => event.atUnixMs)) - startedMs
 }
 
--- a/scripts/bench/measureRecovery.ts
+++ b/scripts/bench/measureRecovery.ts
@@ -1,5 +1,5 @@
 import { createTimerService } from '@figmount/base'
-import { ask } from '@figmount/proof'
+import { sendUntilEnded } from '@figmount/proof'
 
 import { MODEL, SERVICE } from './constants.js'
 
@@ -31,7 +31,7 @@
 const keyFor = (prompt: string): string => `a-${prompt}-a`
 
 const expectAnswer = async (site: Site, prompt: string): Promise<void> => {
-  const { last } = await ask(site.routerAddresses, { service: SERVICE, model: MODEL, prompt, maxTokens: 1 })
+  const { last } = await sendUntilEnded(site.routerAddresses, { service: SERVICE, model: MODEL, prompt, maxTokens: 1 })
   if (last.kind !== 'answered') throw new Error(`no answer between two cases of recovery: ${last.kind}`)
 }
 
@@ -41,7 +41,7 @@
   const addresses = [site.router('r1').address, site.router('r2').address]
   const plan = { service: SERVICE, model: MODEL, prompt, maxTokens: TOKEN_COUNT, requestKey: keyFor(prompt), deadlineMs: DEADLINE_MS }
   const sinceMark = site.rig.events.mark()
-  const asked = ask(() => addresses, plan, GIVE_UP_MS)
+  const asked = sendUntilEnded(() => addresses, plan, GIVE_UP_MS)
   await site.rig.events.waitFor(event => event.name === 'generateStarted' && event.detail === prompt, `a run of ${prompt}`, { sinceMark })
   const killedMs = timers.nowMs()
   await process.kill()
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -2,12 +2,12 @@
 import { randomUUID } from 'node:crypto'
 import { join } from 'node:path'
 import { createTimerService, sleep } from '@figmount/base'
-import { ask, createSite } from '@figmount/proof'
+import { sendUntilEnded, createSite } from '@figmount/proof'
 
 import { printReport } from './demo/printReport.js'
 import { readServices } from './demo/readServices.js'
 
-import type { AskPlan, ConfigChange, Site } from '@figmount/proof'
+import type { RequestPlan, ConfigChange, Site } from '@figmount/proof'
 import type { TimedOutcome } from './demo/printReport.js'
 
 const timers = createTimerService()
@@ -22,12 +22,12 @@
 
 const say = (text: string): void => { process.stdout.write(`${((timers.nowMs() - startedMs) / 1000).toFixed(1).padStart(5)} s  ${text}\n`) }
 
-const askTimed = async (site: Site, plan: AskPlan): Promise<TimedOutcome> => {
+const askTimed = async (site: Site, plan: RequestPlan): Promise<TimedOutcome> => {
   const startedAtMs = timers.unixMs()
-  return { startedAtMs, outcome: await ask(site.routerAddresses, plan) }
+  return { startedAtMs, outcome: await sendUntilEnded(site.routerAddresses, plan) }
 }
 
-const burst = async (site: Site, count: number, plan: Omit<AskPlan, 'prompt'>): Promise<readonly TimedOutcome[]> =>
+const burst = async (site: Site, count: number, plan: Omit<RequestPlan, 'prompt'>): Promise<readonly TimedOutcome[]> =>
   await Promise.all(Array.from({ length: count }, async (_, index) => await askTimed(site, { ...plan, prompt: `burst ${plan.model} ${index}` })))
 
 const stream = async (site: Site): Promise<readonly TimedOutcome[]> =>
--- a/scripts/demo/printReport.ts
+++ b/scripts/demo/printReport.ts
@@ -1,15 +1,15 @@
 import { build } from 'hdr-histogram-js'
-import { checkEngines, faultsOf } from '@figmount/proof'
+import { checkEngines, listAnswerFaults } from '@figmount/proof'
 
 import { overlaps } from './intervals.js'
 import { idleAcceleratorSeconds, loadIntervals } from './readEngines.js'
 
 import type { EventRecord } from '@figmount/base'
-import type { AskOutcome } from '@figmount/proof'
+import type { RequestOutcome } from '@figmount/proof'
 
 /** An outcome with the wall-clock time at which the caller began to ask. */
 export interface TimedOutcome {
-  readonly outcome: AskOutcome
+  readonly outcome: RequestOutcome
   readonly startedAtMs: number
 }
 
@@ -29,7 +29,7 @@
 }
 
 /** The time from the first send to the first token, resends included. */
-const firstTokenMs = ({ sends, totalMs, last }: AskOutcome): number =>
+const firstTokenMs = ({ sends, totalMs, last }: RequestOutcome): number =>
   sends.length === 1 ? last.firstTokenMs : totalMs - last.totalMs + last.firstTokenMs
 
 const write = (line: string): void => { process.stdout.write(`${line}\n`) }
@@ -77,7 +77,7 @@
   write(`\nLoads ${loadCount}: ${[...findings.loadCounts].map(([model, count]) => `${model} ${count}`).join(', ')}`)
   write(`Idle accelerator seconds ${idleAcceleratorSeconds(events).toFixed(1)}`)
   return [
-    ...outcomes.flatMap(({ outcome }) => faultsOf(outcome)),
+    ...outcomes.flatMap(({ outcome }) => listAnswerFaults(outcome)),
     ...[...findings.maxReplicas].filter(([model, count]) => count > maxReplicasOf(model)).map(([model, count]) => `${model}: ${count} replicas`),
     ...findings.overcommits.map(event => `${event.instance}: ${event.memoryMb} of ${event.memoryCapacityMb} MB`),
     ...[...findings.runCounts].filter(([prompt, count]) => count > 1 && isOnce.get(prompt)).map(([prompt, count]) => `${prompt}: ran ${count} times`)
--- a/scripts/experiment.ts
+++ b/scripts/experiment.ts
@@ -31,7 +31,7 @@
   await site.apply(deployment.changes)
   const slotCount = deployment.changes.flatMap(change => (change.body as { models?: ReadonlyArray<{ maxReplicas: number }> }).models ?? [])
     .reduce((sum, model) => sum + model.maxReplicas, 0)
-  await site.rig.until('every slot to be granted', async () => {
+  await site.rig.waitUntil('every slot to be granted', async () => {
     const granted = site.rig.events.all().filter(event => event.name === 'proposalMade').length
     return await Promise.resolve(granted >= slotCount)
   }, READY_MS)
