--- a/packages/timeline/src/checking/checkMemory.ts
+++ b/packages/timeline/src/checking/checkMemory.ts
@@ -2,7 +2,7 @@
 
 import type { PromiseCheck, Violation } from './types.js'
 
-/** Compares the memory that each event reports with the capacity that it reports. */
+/** The memory in use that an event reports never exceeds the capacity in the same event. */
 export const checkMemory: PromiseCheck = events => {
   const violations: Violation[] = []
   for (const timed of events) {
--- a/packages/timeline/src/checking/checkPromises.ts
+++ b/packages/timeline/src/checking/checkPromises.ts
@@ -3,36 +3,36 @@
 import { checkLeaving } from './checkLeaving.js'
 import { checkMemory } from './checkMemory.js'
 import { checkReplicas } from './checkReplicas.js'
-import { checkEnded, checkGraceful } from './checkRequests.js'
-import { checkNotRun, checkOnce } from './checkRuns.js'
+import { checkRequestsEnded, checkGracefulStop } from './checkRequests.js'
+import { checkNotRun, checkAtMostOnce } from './checkRuns.js'
 import { PromiseName } from './types.js'
 
 import type { EventRecord } from '@figmount/base'
 import type { TimedEvent } from '../ordering/orderEvents.js'
-import type { PromiseCheck, Verdict } from './types.js'
+import type { PromiseCheck, CheckResult } from './types.js'
 
-interface JudgedPromise {
+interface CheckedPromise {
   readonly check: PromiseCheck
-  /** Whether an event is a case that the check has judged. */
+  /** Whether the check covers this event; these events are counted as cases of the promise. */
   readonly isCase: (event: EventRecord) => boolean
 }
 
-const JUDGED: Readonly<Record<PromiseName, JudgedPromise>> = {
+const CHECKED_PROMISES: Readonly<Record<PromiseName, CheckedPromise>> = {
   [PromiseName.Replicas]: { check: checkReplicas, isCase: event => event.name === 'loadStarted' },
   [PromiseName.Memory]: { check: checkMemory, isCase: event => event.memoryCapacityMb !== undefined },
-  [PromiseName.Ended]: { check: checkEnded, isCase: event => event.name === 'requestReceived' },
-  [PromiseName.Answers]: { check: checkAnswers, isCase: event => event.name === 'answerWhole' },
+  [PromiseName.RequestsEnded]: { check: checkRequestsEnded, isCase: event => event.name === 'requestReceived' },
+  [PromiseName.WholeAnswers]: { check: checkAnswers, isCase: event => event.name === 'answerWhole' },
   [PromiseName.NotRun]: { check: checkNotRun, isCase: event => event.name === 'requestRefused' && event.runState === 'not_run' },
-  [PromiseName.Once]: { check: checkOnce, isCase: event => event.name === 'engineRunStarted' && event.repeatable === false },
+  [PromiseName.AtMostOnce]: { check: checkAtMostOnce, isCase: event => event.name === 'engineRunStarted' && event.repeatable === false },
   [PromiseName.Leaving]: { check: checkLeaving, isCase: event => event.name === 'drainStarted' },
-  [PromiseName.Graceful]: { check: checkGraceful, isCase: event => event.name === 'processStopped' && event.role === 'router' },
+  [PromiseName.GracefulStop]: { check: checkGracefulStop, isCase: event => event.name === 'processStopped' && event.role === 'router' },
   [PromiseName.Configuration]: { check: checkConfiguration, isCase: event => event.name === 'configInForce' }
 }
 
-/** Judges all promises from the ordered events of one run. */
-export const checkPromises = (events: readonly TimedEvent[]): Verdict => {
-  const judged = Object.entries(JUDGED)
-  const caseCounts = Object.fromEntries(judged.map(([name, { isCase }]) =>
-    [name, events.filter(({ event }) => isCase(event)).length])) as Verdict['caseCounts']
-  return { violations: judged.flatMap(([, { check }]) => check(events)), caseCounts }
+/** Checks all promises against the ordered events of one run. */
+export const checkPromises = (events: readonly TimedEvent[]): CheckResult => {
+  const promises = Object.entries(CHECKED_PROMISES)
+  const caseCounts = Object.fromEntries(promises.map(([name, { isCase }]) =>
+    [name, events.filter(({ event }) => isCase(event)).length])) as CheckResult['caseCounts']
+  return { violations: promises.flatMap(([, { check }]) => check(events)), caseCounts }
 }
--- a/packages/timeline/src/drawing/renderSvg.ts
+++ b/packages/timeline/src/drawing/renderSvg.ts
@@ -1,10 +1,10 @@
 import { SpanKind } from './types.js'
 
-import type { Mark, Picture, Span, SpanEnd } from './types.js'
+import type { Mark, Diagram, Span, SpanEnd } from './types.js'
 
 const LABEL_WIDTH_PX = 130
 const PLOT_WIDTH_PX = 1050
-const HEAD_HEIGHT_PX = 56
+const HEADER_HEIGHT_PX = 56
 const ROW_HEIGHT_PX = 9
 const MARK_HEIGHT_PX = 12
 const LANE_GAP_PX = 10
@@ -29,19 +29,19 @@
 const escape = (text: string): string =>
   text.replaceAll('&', '&amp;').replaceAll('<', '&lt;').replaceAll('>', '&gt;').replaceAll('"', '&quot;')
 
-/** A span and the row of its lane that it stands in. */
+/** A span and its row within the lane. */
 interface PlacedSpan {
   readonly span: Span
   readonly row: number
 }
 
-/** Puts spans that overlap into rows of their own; spans beyond the last row share it. */
-const stack = (spans: readonly Span[]): readonly PlacedSpan[] => {
+/** Places overlapping spans in separate rows; once MAX_ROWS are in use, further spans share the last row. */
+const assignRows = (spans: readonly Span[]): readonly PlacedSpan[] => {
   const rowEndsMs: number[] = []
   const placed: PlacedSpan[] = []
   for (const span of [...spans].sort((a, b) => a.fromMs - b.fromMs)) {
-    const free = rowEndsMs.findIndex(endMs => endMs <= span.fromMs)
-    const row = free === -1 ? Math.min(rowEndsMs.length, MAX_ROWS - 1) : free
+    const freeRow = rowEndsMs.findIndex(endMs => endMs <= span.fromMs)
+    const row = freeRow === -1 ? Math.min(rowEndsMs.length, MAX_ROWS - 1) : freeRow
     rowEndsMs[row] = Math.max(rowEndsMs[row] ?? 0, span.toMs)
     placed.push({ span, row })
   }
@@ -50,9 +50,9 @@
 
 type Scale = (atMs: number) => number
 
-const scaleOf = (picture: Picture): Scale => {
-  const lengthMs = Math.max(1, picture.toMs - picture.fromMs)
-  return atMs => LABEL_WIDTH_PX + (atMs - picture.fromMs) / lengthMs * PLOT_WIDTH_PX
+const createScale = (diagram: Diagram): Scale => {
+  const lengthMs = Math.max(1, diagram.toMs - diagram.fromMs)
+  return atMs => LABEL_WIDTH_PX + (atMs - diagram.fromMs) / lengthMs * PLOT_WIDTH_PX
 }
 
 const drawSpan = ({ span, row }: PlacedSpan, topPx: number, scale: Scale): string => {
@@ -68,7 +68,7 @@
 
 const drawMark = (mark: Mark, topPx: number, scale: Scale): string => {
   const x = scale(mark.atMs).toFixed(1)
-  const colour = mark.severe ? '#e45756' : '#555'
+  const colour = mark.isSevere ? '#e45756' : '#555'
   return `<path d="M${x} ${topPx + 10} l-4 -7 h8 z" fill="${colour}"><title>${escape(mark.label)}</title></path>`
 }
 
@@ -77,25 +77,25 @@
   readonly heightPx: number
 }
 
-const drawLane = (picture: Picture, lane: string, topPx: number, scale: Scale): DrawnLane => {
-  const placed = stack(picture.spans.filter(span => span.lane === lane))
+const drawLane = (diagram: Diagram, lane: string, topPx: number, scale: Scale): DrawnLane => {
+  const placed = assignRows(diagram.spans.filter(span => span.lane === lane))
   const rows = Math.max(1, ...placed.map(({ row }) => row + 1))
   const heightPx = MARK_HEIGHT_PX + rows * ROW_HEIGHT_PX
   const label = `<text x="4" y="${topPx + MARK_HEIGHT_PX + 8}" font-size="11" font-weight="bold">${escape(lane)}</text>`
-  const rule = `<line x1="0" x2="${LABEL_WIDTH_PX + PLOT_WIDTH_PX}" y1="${topPx - LANE_GAP_PX / 2}" y2="${topPx - LANE_GAP_PX / 2}" stroke="#ddd"/>`
-  const spans = placed.map(one => drawSpan(one, topPx, scale))
-  const marks = picture.marks.filter(mark => mark.lane === lane).map(mark => drawMark(mark, topPx, scale))
-  return { svg: [rule, label, ...spans, ...marks].join('\n'), heightPx }
+  const divider = `<line x1="0" x2="${LABEL_WIDTH_PX + PLOT_WIDTH_PX}" y1="${topPx - LANE_GAP_PX / 2}" y2="${topPx - LANE_GAP_PX / 2}" stroke="#ddd"/>`
+  const spans = placed.map(placedSpan => drawSpan(placedSpan, topPx, scale))
+  const marks = diagram.marks.filter(mark => mark.lane === lane).map(mark => drawMark(mark, topPx, scale))
+  return { svg: [divider, label, ...spans, ...marks].join('\n'), heightPx }
 }
 
-const drawTicks = (picture: Picture, heightPx: number, scale: Scale): string => {
-  const lengthMs = Math.max(1, picture.toMs - picture.fromMs)
+const drawTicks = (diagram: Diagram, heightPx: number, scale: Scale): string => {
+  const lengthMs = Math.max(1, diagram.toMs - diagram.fromMs)
   const ticks: string[] = []
   for (let index = 0; index <= TICK_COUNT; index++) {
     const offsetMs = lengthMs * index / TICK_COUNT
-    const x = scale(picture.fromMs + offsetMs).toFixed(1)
-    ticks.push(`<line x1="${x}" x2="${x}" y1="${HEAD_HEIGHT_PX - 8}" y2="${heightPx}" stroke="#eee"/>`)
-    ticks.push(`<text x="${x}" y="${HEAD_HEIGHT_PX - 12}" font-size="9" text-anchor="middle">${(offsetMs / MS_PER_SECOND).toFixed(2)} s</text>`)
+    const x = scale(diagram.fromMs + offsetMs).toFixed(1)
+    ticks.push(`<line x1="${x}" x2="${x}" y1="${HEADER_HEIGHT_PX - 8}" y2="${heightPx}" stroke="#eee"/>`)
+    ticks.push(`<text x="${x}" y="${HEADER_HEIGHT_PX - 12}" font-size="9" text-anchor="middle">${(offsetMs / MS_PER_SECOND).toFixed(2)} s</text>`)
   }
   return ticks.join('\n')
 }
@@ -110,13 +110,13 @@
   }).join('\n')
 }
 
-/** Draws the picture as an SVG file: one lane for each process, time from left to right. */
-export const renderSvg = (picture: Picture): string => {
-  const scale = scaleOf(picture)
+/** Renders the diagram as an SVG document: one lane per process, time from left to right. */
+export const renderSvg = (diagram: Diagram): string => {
+  const scale = createScale(diagram)
   const lanes: string[] = []
-  let topPx = HEAD_HEIGHT_PX
-  for (const lane of picture.lanes) {
-    const drawn = drawLane(picture, lane, topPx, scale)
+  let topPx = HEADER_HEIGHT_PX
+  for (const lane of diagram.lanes) {
+    const drawn = drawLane(diagram, lane, topPx, scale)
     lanes.push(drawn.svg)
     topPx += drawn.heightPx + LANE_GAP_PX
   }
@@ -125,7 +125,7 @@
     `<svg xmlns="http://www.w3.org/2000/svg" width="${width}" height="${topPx}" viewBox="0 0 ${width} ${topPx}" font-family="sans-serif">`,
     '<rect width="100%" height="100%" fill="white"/>',
     drawLegend(),
-    drawTicks(picture, topPx, scale),
+    drawTicks(diagram, topPx, scale),
     ...lanes,
     '</svg>\n'
   ].join('\n')
--- a/packages/timeline/src/drawing/types.ts
+++ b/packages/timeline/src/drawing/types.ts
@@ -1,4 +1,4 @@
-/** What a span of time on a lane shows. */
+/** Which activity a span shows. */
 export const SpanKind = {
   Request: 'request',
   Run: 'run',
@@ -12,7 +12,7 @@
 /** How a span ended. */
 export type SpanEnd = 'good' | 'refused' | 'failed' | 'open'
 
-/** Something that lasted, on the lane of one process. */
+/** An activity with a start and an end, on the lane of one process. */
 export interface Span {
   readonly lane: string
   readonly kind: SpanKind
@@ -22,16 +22,16 @@
   readonly end: SpanEnd
 }
 
-/** Something that happened at one moment. */
+/** An event at one point in time, on the lane of one process. */
 export interface Mark {
   readonly lane: string
   readonly label: string
   readonly atMs: number
-  readonly severe: boolean
+  readonly isSevere: boolean
 }
 
-/** Everything that a picture shows. */
-export interface Picture {
+/** The lanes, spans and marks to draw, and the time range that they cover. */
+export interface Diagram {
   readonly lanes: readonly string[]
   readonly spans: readonly Span[]
   readonly marks: readonly Mark[]
--- a/packages/timeline/src/explaining/constants.ts
+++ b/packages/timeline/src/explaining/constants.ts
@@ -1,21 +1,21 @@
 /**
- * Lines this long before a request's first one may bear on it: a server's end is noticed within two reports, and the balancer
- * takes two seconds to leave a router out.
+ * Events this long before a request's first event may be related to it: the end of a server is detected within two reports, and the
+ * balancer takes two seconds to stop sending to a router.
  */
-export const LOOK_BACK_MS = 2_000
+export const LOOKBACK_MS = 2_000
 
-/** What becomes of the backend servers that a request met. */
-export const SERVER_NAMES: ReadonlySet<string> = new Set([
+/** State changes of backend servers, related to a request that was sent to the server. */
+export const SERVER_EVENTS: ReadonlySet<string> = new Set([
   'serverTaken', 'serverLeft', 'engineUp', 'engineDown', 'engineNamed', 'engineForgotten', 'engineDraining'
 ])
 
-/** What is done about a model. */
-export const MODEL_NAMES: ReadonlySet<string> = new Set([
+/** Load requests and orders for a model, related to a request for the model. */
+export const MODEL_EVENTS: ReadonlySet<string> = new Set([
   'wantTaken', 'wantMet', 'wantGivenUp', 'orderSent', 'orderAnswered', 'orderUnanswered', 'replicaAsked'
 ])
 
-/** What happens to the process that serves a request. */
-export const PROCESS_NAMES: ReadonlySet<string> = new Set([
+/** State changes of a process, related to a request that the process handled. */
+export const PROCESS_EVENTS: ReadonlySet<string> = new Set([
   'processStarted', 'processStopping', 'processStopped', 'requestsCutShort', 'requestsUnanswered',
   'feedLost', 'feedRegained', 'deploymentTaken', 'agentLost', 'agentFound'
 ])
--- a/packages/timeline/src/index.ts
+++ b/packages/timeline/src/index.ts
@@ -1,10 +1,10 @@
-/** The time line of events over all processes, and the checker that judges the promises from it. */
+/** Orders the events of all processes on one time line, renders it, checks the promises and explains single requests. */
 export { checkPromises } from './checking/checkPromises.js'
 export { PromiseName } from './checking/types.js'
-export type { Verdict, Violation } from './checking/types.js'
+export type { CheckResult, Violation } from './checking/types.js'
 export { explainRequest } from './explaining/explainRequest.js'
 export type { Explanation } from './explaining/explainRequest.js'
-export { buildPicture } from './drawing/buildPicture.js'
+export { buildDiagram } from './drawing/buildDiagram.js'
 export { renderSvg } from './drawing/renderSvg.js'
 export { renderText } from './drawing/renderText.js'
 export { filterEvents } from './filtering/filterEvents.js'
--- a/packages/timeline/src/ordering/orderEvents.test.ts
+++ b/packages/timeline/src/ordering/orderEvents.test.ts
@@ -10,15 +10,15 @@
 
 const names = (events: readonly EventRecord[]): readonly string[] => orderEvents(events).map(timed => timed.event.name)
 
-describe('order of events', () => {
-  it('is by time where clocks agree', () => {
+describe('orderEvents', () => {
+  it('orders by time when clocks agree', () => {
     expect(names([event('a', 'attemptQueued', 20, 0), event('r', 'requestSent', 10, 0)]))
       .to.deep.equal(['requestSent', 'attemptQueued'])
   })
 
-  // A person reads that the agent queued an attempt 5 s before the router sent it.
-  // The agent's clock is behind; the time line must still show the cause first.
-  it('is by cause where clocks differ', () => {
+  // The agent's clock is behind the router's: by time alone, the agent queues the attempt 5 s before the router sends it.
+  // The cause must still come first.
+  it('puts causes before effects when clocks differ', () => {
     const events = [
       event('a', 'attemptQueued', 5_000, 0), event('a', 'attemptFinished', 5_100, 1),
       event('r', 'requestSent', 10_000, 0), event('r', 'requestAnswered', 10_200, 1)
@@ -26,13 +26,13 @@
     expect(names(events)).to.deep.equal(['requestSent', 'attemptQueued', 'attemptFinished', 'requestAnswered'])
   })
 
-  it('keeps the order within a process whose clock is set back', () => {
+  it('keeps the order of a process whose clock is set back', () => {
     expect(names([event('a', 'first', 9_000, 0), event('a', 'second', 1_000, 1)])).to.deep.equal(['first', 'second'])
   })
 
-  it('keeps the lives of a process apart', () => {
-    // A process is killed and started again under its name; its second life counts its lines from 0 as the first did. Put in
-    // one order by that count, the lines of both lives mix and all get the time of the latest.
+  it('keeps the runs of a restarted process apart', () => {
+    // A process is killed and restarted under the same name, and numbers its events from 0 again. If both runs were ordered by that
+    // number together, their events would mix and all get the time of the latest one.
     const timed = orderEvents([event('a', 'first', 10, 0), event('a', 'second', 20, 1), event('a', 'third', 500, 0), event('a', 'fourth', 510, 1)])
     expect(timed.map(({ event: { name }, atMs }) => ({ name, atMs }))).to.deep.equal([
       { name: 'first', atMs: 10 }, { name: 'second', atMs: 20 }, { name: 'third', atMs: 500 }, { name: 'fourth', atMs: 510 }
--- a/packages/timeline/src/ordering/orderEvents.ts
+++ b/packages/timeline/src/ordering/orderEvents.ts
@@ -1,20 +1,20 @@
 import type { EventRecord, InstanceName } from '@figmount/base'
 
-/** An event with its time corrected for differing clocks. */
+/** An event with its time corrected for clock differences between instances. */
 export interface TimedEvent {
   readonly event: EventRecord
-  /** Unix time on the common clock. */
+  /** Unix time on a clock common to all instances. */
   readonly atMs: number
 }
 
-/** A message that one process sent and another received, seen as two events. */
+/** The events by which two processes recorded the sending and the receipt of one message. */
 interface CausalPair {
   readonly cause: EventRecord
   readonly effect: EventRecord
 }
 
-/** Events that stand for the two ends of one message, by name, joined by their attempt id. */
-const MESSAGE_ENDS: ReadonlyArray<readonly [cause: string, effect: string]> = [
+/** Names of the events at the sender and the receiver of a message; both carry the same attempt id. */
+const CAUSAL_EVENT_NAMES: ReadonlyArray<readonly [cause: string, effect: string]> = [
   ['requestSent', 'attemptQueued'],
   ['attemptFinished', 'requestAnswered'],
   ['attemptRefused', 'requestRefused']
@@ -22,7 +22,7 @@
 
 const attemptKey = (event: EventRecord, name: string): string => `${name}\u0000${event.attemptId ?? ''}`
 
-const findPairs = (events: readonly EventRecord[]): readonly CausalPair[] => {
+const findCausalPairs = (events: readonly EventRecord[]): readonly CausalPair[] => {
   const firstByKey = new Map<string, EventRecord>()
   for (const event of events) {
     if (!event.attemptId) continue
@@ -30,7 +30,7 @@
     if (!firstByKey.has(key)) firstByKey.set(key, event)
   }
   const pairs: CausalPair[] = []
-  for (const [causeName, effectName] of MESSAGE_ENDS) {
+  for (const [causeName, effectName] of CAUSAL_EVENT_NAMES) {
     for (const cause of firstByKey.values()) {
       if (cause.name !== causeName) continue
       const effect = firstByKey.get(attemptKey(cause, effectName))
@@ -41,51 +41,51 @@
 }
 
 /**
- * Clock shift in ms for each instance so that no effect comes before its cause.
- * Guards against differing clocks, which show as answers before their questions. The shifts
- * are the longest paths over the violated pairs; rounds are bounded by the number of
- * instances, so that contradictory pairs (a clock that was set during the run) still end.
+ * Computes a clock shift in ms per instance such that no effect precedes its cause.
+ * Without it, clock differences between instances put answers before their requests. The shifts are the longest paths over
+ * the violated pairs. The number of rounds is bounded by the number of instances, so the loop also ends for contradictory
+ * pairs, as from a clock that was set during the run.
  */
-const findShifts = (events: readonly EventRecord[]): ReadonlyMap<InstanceName, number> => {
+const computeClockShifts = (events: readonly EventRecord[]): ReadonlyMap<InstanceName, number> => {
   const shifts = new Map(events.map(event => [event.instance, 0]))
-  const pairs = findPairs(events)
+  const pairs = findCausalPairs(events)
   const shifted = (event: EventRecord): number => event.atUnixMs + (shifts.get(event.instance) ?? 0)
   for (let round = 0; round < shifts.size; round++) {
-    let changed = false
+    let hasChanged = false
     for (const { cause, effect } of pairs) {
       const lateMs = shifted(cause) - shifted(effect)
       if (lateMs <= 0) continue
       shifts.set(effect.instance, (shifts.get(effect.instance) ?? 0) + lateMs)
-      changed = true
+      hasChanged = true
     }
-    if (!changed) break
+    if (!hasChanged) break
   }
   return shifts
 }
 
-/** Events of each life of each process, in the order in which it wrote them: a restarted one counts from 0 again. */
-const splitLives = (events: readonly TimedEvent[]): ReadonlyArray<readonly TimedEvent[]> => {
-  const lives: TimedEvent[][] = []
+/** Splits events by process and start of the process: a restarted process numbers its events from 0 again. */
+const splitIncarnations = (events: readonly TimedEvent[]): ReadonlyArray<readonly TimedEvent[]> => {
+  const incarnations: TimedEvent[][] = []
   const current = new Map<string, TimedEvent[]>()
   for (const timed of events) {
-    const process = `${timed.event.role}\u0000${timed.event.instance}`
-    const life = current.get(process)
-    if (life && (life.at(-1)?.event.sequence ?? -1) < timed.event.sequence) {
-      life.push(timed)
+    const processKey = `${timed.event.role}\u0000${timed.event.instance}`
+    const incarnation = current.get(processKey)
+    if (incarnation && (incarnation.at(-1)?.event.sequence ?? -1) < timed.event.sequence) {
+      incarnation.push(timed)
       continue
     }
     const next = [timed]
-    lives.push(next)
-    current.set(process, next)
+    incarnations.push(next)
+    current.set(processKey, next)
   }
-  return lives
+  return incarnations
 }
 
-/** Keeps each process's own order even where its wall clock was set back during the run. */
-const inOwnOrder = (events: readonly TimedEvent[]): readonly TimedEvent[] =>
-  splitLives(events).flatMap(life => {
+/** Keeps the order in which each process wrote its events, even if its wall clock was set back during the run. */
+const keepProcessOrder = (events: readonly TimedEvent[]): readonly TimedEvent[] =>
+  splitIncarnations(events).flatMap(incarnation => {
     let latestMs = -Infinity
-    return life.map(({ event, atMs }) => {
+    return incarnation.map(({ event, atMs }) => {
       latestMs = Math.max(latestMs, atMs)
       return { event, atMs: latestMs }
     })
@@ -94,9 +94,9 @@
 const compare = (a: TimedEvent, b: TimedEvent): number =>
   a.atMs - b.atMs || a.event.clock - b.event.clock || a.event.sequence - b.event.sequence
 
-/** Puts the events of all processes on one time line, by cause where clocks differ. */
+/** Orders the events of all processes by time, corrected where clocks contradict the order of cause and effect. */
 export const orderEvents = (events: readonly EventRecord[]): readonly TimedEvent[] => {
-  const shifts = findShifts(events)
+  const shifts = computeClockShifts(events)
   const timed = events.map(event => ({ event, atMs: event.atUnixMs + (shifts.get(event.instance) ?? 0) }))
-  return [...inOwnOrder(timed)].sort(compare)
+  return [...keepProcessOrder(timed)].sort(compare)
 }
--- a/packages/timeline/src/reading/readEvents.ts
+++ b/packages/timeline/src/reading/readEvents.ts
@@ -4,7 +4,7 @@
 
 import type { EventRecord } from '@figmount/base'
 
-const eventLine = z.looseObject({
+const eventSchema = z.looseObject({
   number: z.int(),
   name: z.string(),
   instance: z.string(),
@@ -14,25 +14,25 @@
   atUnixMs: z.number()
 })
 
-/** Events of one run, and how many lines were none. */
+/** Events of one run, and the number of lines that were not events. */
 export interface ReadEvents {
   readonly events: readonly EventRecord[]
   readonly rejectedLineCount: number
 }
 
-/** Reads one line; undefined when it is no event. A collector may have put its own time and source before the object. */
+/** Parses one line; undefined if it is not an event. A log collector may have put its own time and source before the JSON object. */
 export const parseEventLine = (line: string): EventRecord | undefined => {
   const start = line.indexOf('{')
   if (start === -1) return undefined
   try {
-    const result = eventLine.safeParse(JSON.parse(line.slice(start)))
+    const result = eventSchema.safeParse(JSON.parse(line.slice(start)))
     return result.success ? result.data as unknown as EventRecord : undefined
   } catch {
     return undefined
   }
 }
 
-/** Reads event files, one JSON object a line; other lines, such as logs of other programs, are counted and passed over. */
+/** Reads event files with one JSON object per line; other lines, such as logs of other programs, are counted and skipped. */
 export const readEvents = async (files: readonly string[]): Promise<ReadEvents> => {
   const events: EventRecord[] = []
   let rejectedLineCount = 0
