--- a/packages/standin/src/bin.ts
+++ b/packages/standin/src/bin.ts
@@ -5,7 +5,7 @@
 
 await runBinary({
   name: 'figmount-standin',
-  summary: 'Stands in for the platform (log, instance list, weight store), a backend server or a faulty network in tests and the demo.',
+  summary: 'Runs a stand-in for tests and the demo: platform log, instance list, weight store, backend server or faulty network.',
   role: 'standin',
   schema: standinSettings,
   instanceOf: settings => settings.process.instance,
--- a/packages/standin/src/control/createGate.ts
+++ b/packages/standin/src/control/createFaultInjector.ts
@@ -4,44 +4,44 @@
 
 import type { TimerService } from '@figmount/base'
 
-/** Commands that every RPC stand-in understands. */
-export const gateCommand = z.discriminatedUnion('action', [
+/** Fault commands that every RPC stand-in accepts. */
+export const faultCommand = z.discriminatedUnion('action', [
   z.strictObject({ action: z.literal('outage'), on: z.boolean() }),
   z.strictObject({ action: z.literal('slow'), delayMs: z.number().min(0) }),
   z.strictObject({ action: z.literal('pause'), on: z.boolean() })
 ])
 
-export type GateCommand = z.infer<typeof gateCommand>
+export type FaultCommand = z.infer<typeof faultCommand>
 
-/** What every call of a stand-in passes first. */
-export interface Gate {
-  /** Waits as told; throws UNAVAILABLE during an outage. */
-  readonly pass: () => Promise<void>
-  readonly run: (command: GateCommand) => void
+/** Delays, pauses or fails the RPC calls of one stand-in. */
+export interface FaultInjector {
+  /** Called first in every RPC: waits for the set delay and while paused; throws UNAVAILABLE during an outage. */
+  readonly applyFaults: () => Promise<void>
+  readonly run: (command: FaultCommand) => void
   readonly state: () => { readonly outage: boolean, readonly delayMs: number, readonly paused: boolean }
 }
 
-/** Makes the gate of one stand-in. */
-export const createGate = (timers: TimerService): Gate => {
+/** Creates a fault injector without any fault set. */
+export const createFaultInjector = (timers: TimerService): FaultInjector => {
   let outage = false
   let delayMs = 0
   let paused = false
-  const held = new Set<() => void>()
+  const pausedCalls = new Set<() => void>()
 
-  const release = (): void => {
-    const waiting = [...held]
-    held.clear()
-    for (const go of waiting) go()
+  const resumeCalls = (): void => {
+    const calls = [...pausedCalls]
+    pausedCalls.clear()
+    for (const resume of calls) resume()
   }
 
   const waitWhilePaused = async (): Promise<void> => {
     if (!paused) return
-    await new Promise<void>(resolve => { held.add(resolve) })
+    await new Promise<void>(resolve => { pausedCalls.add(resolve) })
     await waitWhilePaused()
   }
 
   return {
-    pass: async () => {
+    applyFaults: async () => {
       if (delayMs > 0) await sleep(timers, delayMs)
       await waitWhilePaused()
       if (outage) throw new ConnectError('outage', Code.Unavailable)
@@ -50,7 +50,7 @@
       if (command.action === 'outage') outage = command.on
       if (command.action === 'slow') delayMs = command.delayMs
       if (command.action === 'pause') paused = command.on
-      release()
+      resumeCalls()
     },
     state: () => ({ outage, delayMs, paused })
   }
--- a/packages/standin/src/control/createTokenBucket.ts
+++ b/packages/standin/src/control/createTokenBucket.ts
@@ -1,20 +1,20 @@
 import type { TimerService } from '@figmount/base'
 
-/** A rate limit. */
+/** A rate limit as a token bucket. */
 export interface TokenBucket {
-  /** Takes one token: 0 when there was one, else the time in ms until there is. */
+  /** Takes one token and returns 0; with no token available, takes none and returns the time in ms until there is one. */
   readonly take: () => number
 }
 
-/** Makes a bucket that starts full. */
+/** Creates a bucket that starts full. */
 export const createTokenBucket = (timers: TimerService, ratePerSecond: number, burstCount: number): TokenBucket => {
   let available = burstCount
-  let filledAtMs = timers.nowMs()
+  let refilledAtMs = timers.nowMs()
   return {
     take: () => {
       const nowMs = timers.nowMs()
-      available = Math.min(burstCount, available + (nowMs - filledAtMs) * ratePerSecond / 1000)
-      filledAtMs = nowMs
+      available = Math.min(burstCount, available + (nowMs - refilledAtMs) * ratePerSecond / 1000)
+      refilledAtMs = nowMs
       if (available >= 1) {
         available -= 1
         return 0
--- a/packages/standin/src/control/types.ts
+++ b/packages/standin/src/control/types.ts
@@ -1,15 +1,15 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 
-/** Carries out one command of the control surface; what it returns is the answer as JSON. */
+/** Executes one command of the control API; the return value is sent back as JSON. */
 export type RunCommand = (command: unknown) => unknown
 
-/** The control surface of one stand-in, under `/control` of its own port. */
-export interface ControlSurface {
+/** The control API of one stand-in: state and commands under `/control` on its own port. */
+export interface ControlApi {
   readonly dump: () => unknown
   readonly run: RunCommand
 }
 
-/** Takes what is no RPC; false leaves it to the caller. */
+/** Handles HTTP requests that are not RPCs; returns false if the request is for another handler. */
 export type HandlePlain = (request: IncomingMessage, response: ServerResponse) => boolean
 
 /** A started stand-in. */
--- a/packages/standin/src/engine/checkpointTiers.ts
+++ b/packages/standin/src/engine/checkpointTiers.ts
@@ -1,42 +1,42 @@
 import type { Tier } from './types.js'
 
-/** Checkpoints of one tier with their sizes, least recently used first. */
-type Shelf = ReadonlyMap<string, number>
+/** Sizes in MB of the checkpoints in one tier by name, least recently used first. */
+type TierContents = ReadonlyMap<string, number>
 
-/** Which checkpoints lie in host memory and on disk. */
+/** Checkpoints that are cached in host memory and on disk. */
 export interface CheckpointTiers {
-  readonly memory: Shelf
-  readonly disk: Shelf
+  readonly memory: TierContents
+  readonly disk: TierContents
 }
 
 export const checkpointName = (model: string, version: string): string => `${model}@${version}`
 
-const shelfOf = (names: readonly string[]): Shelf => new Map(names.map(name => [name, 0]))
+const createTierContents = (names: readonly string[]): TierContents => new Map(names.map(name => [name, 0]))
 
-export const makeTiers = (memoryNames: readonly string[], diskNames: readonly string[]): CheckpointTiers =>
-  ({ memory: shelfOf(memoryNames), disk: shelfOf(diskNames) })
+export const createTiers = (memoryNames: readonly string[], diskNames: readonly string[]): CheckpointTiers =>
+  ({ memory: createTierContents(memoryNames), disk: createTierContents(diskNames) })
 
 export const findTier = (tiers: CheckpointTiers, name: string): Tier => {
   if (tiers.memory.has(name)) return 'memory'
   return tiers.disk.has(name) ? 'disk' : 'remote'
 }
 
-const putOnShelf = (shelf: Shelf, name: string, sizeMb: number, roomMb: number): Shelf => {
-  const next = new Map(shelf)
+const addToTier = (contents: TierContents, name: string, sizeMb: number, capacityMb: number): TierContents => {
+  const next = new Map(contents)
   next.delete(name)
-  if (sizeMb > roomMb) return next
+  if (sizeMb > capacityMb) return next
   next.set(name, sizeMb)
   let usedMb = [...next.values()].reduce((sum, mb) => sum + mb, 0)
   for (const [oldest, mb] of next) {
-    if (usedMb <= roomMb) break
+    if (usedMb <= capacityMb) break
     next.delete(oldest)
     usedMb -= mb
   }
   return next
 }
 
-/** A checkpoint that was used lies in both tiers afterwards, as far as there is room. */
-export const keepCheckpoint = (tiers: CheckpointTiers, name: string, sizeMb: number, memoryRoomMb: number, diskRoomMb: number): CheckpointTiers => ({
-  memory: putOnShelf(tiers.memory, name, sizeMb, memoryRoomMb),
-  disk: putOnShelf(tiers.disk, name, sizeMb, diskRoomMb)
+/** Puts a checkpoint that was used into each tier that can hold it, evicting the least recently used ones beyond the capacity. */
+export const cacheCheckpoint = (tiers: CheckpointTiers, name: string, sizeMb: number, memoryCapacityMb: number, diskCapacityMb: number): CheckpointTiers => ({
+  memory: addToTier(tiers.memory, name, sizeMb, memoryCapacityMb),
+  disk: addToTier(tiers.disk, name, sizeMb, diskCapacityMb)
 })
--- a/packages/standin/src/engine/createGenerations.ts
+++ b/packages/standin/src/engine/createTokenGenerator.ts
@@ -3,14 +3,14 @@
 import { FinishReason } from '@figmount/schema'
 
 import { StandinEvent } from '../events.js'
-import { dropModelPrefixes, EMPTY_CACHE, hasPrefix, touchPrefix } from './prefixCache.js'
+import { removeModelPrefixes, EMPTY_CACHE, hasPrefix, touchPrefix } from './prefixCache.js'
 import { answerLength, tokenAt } from './tokens.js'
 
 import type { GenerateRequest } from '@figmount/schema'
 import type { PrefixCache } from './prefixCache.js'
-import type { EngineParts, MemoryState } from './types.js'
+import type { EngineContext, MemoryState } from './types.js'
 
-/** Tokens of one stream from an index on. */
+/** Tokens of one stream from `firstTokenIndex` on. */
 export interface TokenChunk {
   readonly firstTokenIndex: number
   readonly tokens: string[]
@@ -21,8 +21,8 @@
 
 interface Stream {
   readonly request: GenerateRequest
-  readonly order: number
-  readonly resumedFromKv: boolean
+  readonly arrivalIndex: number
+  readonly isResumedFromKv: boolean
   readonly tokens: string[]
   readonly waiting: Set<() => void>
   state: 'queued' | 'running' | 'finished' | 'ended'
@@ -30,12 +30,12 @@
   endReason: string
 }
 
-/** The part of the engine that generates. */
-export interface Generations {
+/** Runs the engine's generations: queue, batch, token streams and KV transfer. */
+export interface TokenGenerator {
   readonly start: (request: GenerateRequest) => void
   readonly chunks: (streamId: string, fromTokenIndex: number, signal: AbortSignal) => AsyncGenerator<TokenChunk>
   readonly cancel: (streamId: string) => boolean
-  readonly endModel: (model: string) => void
+  readonly endModelStreams: (model: string) => void
   readonly exportKv: (streamId: string) => { readonly kv: Uint8Array, readonly tokenCount: number }
   readonly importKv: (streamId: string, kv: Uint8Array) => void
   readonly cache: () => PrefixCache
@@ -45,34 +45,34 @@
   readonly setTokenInterval: (intervalMs: number) => void
 }
 
-/** Prompts whose runs are counted; beyond that the oldest counts are forgotten. */
-const COUNTED_PROMPTS = 50_000
+/** Maximum number of prompts whose runs are counted; beyond it, the least recently run prompt is removed. */
+const MAX_COUNTED_PROMPTS = 50_000
 
-/** Time between the beginning of a crashing request and the death of the process, so that the event is written. */
-const POISON_DELAY_MS = 30
+/** Time between the start of a crashing request and the exit of the process, so that the event is written first. */
+const CRASH_DELAY_MS = 30
 
-/** Makes the generating part; `memory` tells what is resident. */
-export const createGenerations = (parts: EngineParts, memory: () => MemoryState): Generations => {
-  const { settings, timers, events } = parts
+/** Creates the token generator; `memory` returns the resident models and adapters. */
+export const createTokenGenerator = (context: EngineContext, memory: () => MemoryState): TokenGenerator => {
+  const { settings, timers, events } = context
   const streams = new Map<string, Stream>()
   const imported = new Map<string, Uint8Array>()
   const runCounts = new Map<string, number>()
   let cache = EMPTY_CACHE
-  let nextOrder = 0
+  let nextArrivalIndex = 0
   let maxRunningCount = 0
   let tokenIntervalMs = settings.token_interval_ms
 
-  const inState = (state: Stream['state']): readonly Stream[] => [...streams.values()].filter(stream => stream.state === state)
+  const streamsInState = (state: Stream['state']): readonly Stream[] => [...streams.values()].filter(stream => stream.state === state)
 
   const kvUsedMb = (): number => {
-    const tokenCount = inState('running').reduce((sum, stream) => sum + stream.tokens.length + stream.request.prompt.length / 4, 0)
+    const tokenCount = streamsInState('running').reduce((sum, stream) => sum + stream.tokens.length + stream.request.prompt.length / 4, 0)
     return Math.ceil(tokenCount * settings.kv_mb_per_token)
   }
 
-  const wakeReaders = (stream: Stream): void => {
-    const woken = [...stream.waiting]
+  const notifyReaders = (stream: Stream): void => {
+    const readers = [...stream.waiting]
     stream.waiting.clear()
-    for (const wake of woken) wake()
+    for (const notify of readers) notify()
   }
 
   const isRunning = (stream: Stream): boolean => stream.state === 'running'
@@ -81,13 +81,13 @@
     const count = (runCounts.get(prompt) ?? 0) + 1
     runCounts.delete(prompt)
     runCounts.set(prompt, count)
-    if (runCounts.size > COUNTED_PROMPTS) runCounts.delete(runCounts.keys().next().value ?? '')
+    if (runCounts.size > MAX_COUNTED_PROMPTS) runCounts.delete(runCounts.keys().next().value ?? '')
     return count
   }
 
-  const dieOfPoison = async (stream: Stream): Promise<void> => {
+  const crashOnPoison = async (stream: Stream): Promise<void> => {
     events.emit(StandinEvent.poisonRun, { attemptId: stream.request.streamId, model: stream.request.model })
-    await sleep(timers, POISON_DELAY_MS)
+    await sleep(timers, CRASH_DELAY_MS)
     process.exit(ExitCode.Failed)
   }
 
@@ -95,17 +95,17 @@
     stream.state = 'finished'
     stream.finishReason = stops ? FinishReason.STOP : FinishReason.LENGTH
     events.emit(StandinEvent.generateFinished, { attemptId: stream.request.streamId, model: stream.request.model, tokenCount: stream.tokens.length })
-    forgetLater(stream)
+    scheduleRemoval(stream)
   }
 
-  const forgetLater = (stream: Stream): void => {
+  const scheduleRemoval = (stream: Stream): void => {
     timers.after(settings.stream_keep_ms, () => { streams.delete(stream.request.streamId) })
   }
 
   const prefill = async (stream: Stream): Promise<void> => {
     const { model, prefixHint } = stream.request
-    const cached = prefixHint !== '' && hasPrefix(cache, model, prefixHint)
-    const waitMs = stream.resumedFromKv ? 0 : cached ? settings.cached_prefill_ms : settings.prefill_ms
+    const isCached = prefixHint !== '' && hasPrefix(cache, model, prefixHint)
+    const waitMs = stream.isResumedFromKv ? 0 : isCached ? settings.cached_prefill_ms : settings.prefill_ms
     await sleep(timers, waitMs)
     if (prefixHint !== '') cache = touchPrefix(cache, model, prefixHint, settings.prefix_cache_count, timers.nowMs())
   }
@@ -113,35 +113,35 @@
   const run = async (stream: Stream): Promise<void> => {
     const { request } = stream
     stream.state = 'running'
-    const running = inState('running')
+    const running = streamsInState('running')
     maxRunningCount = Math.max(maxRunningCount, running.length)
     const runCount = countRun(request.prompt)
     events.emit(StandinEvent.generateStarted, {
       attemptId: request.streamId, model: request.model, version: request.version, adapter: request.adapter, count: runCount, tokenCount: request.doneTokens.length, detail: request.prompt.slice(0, 80)
     })
-    if (settings.poison_marker !== '' && request.prompt.includes(settings.poison_marker)) return await dieOfPoison(stream)
+    if (settings.poison_marker !== '' && request.prompt.includes(settings.poison_marker)) return await crashOnPoison(stream)
     await prefill(stream)
     const { tokenCount, stops } = answerLength(request.prompt, request.maxTokens)
     while (isRunning(stream) && stream.tokens.length < tokenCount) {
       stream.tokens.push(tokenAt(request, stream.tokens.length))
       if (stream.tokens.length === tokenCount) break
-      wakeReaders(stream)
+      notifyReaders(stream)
       await sleep(timers, tokenIntervalMs)
     }
     if (isRunning(stream)) finish(stream, stops)
-    wakeReaders(stream)
+    notifyReaders(stream)
   }
 
   const fillBatch = (): void => {
-    const freeCount = settings.batch_size - inState('running').length
-    const queued = [...inState('queued')].sort((a, b) => b.request.priority - a.request.priority || a.order - b.order)
+    const freeCount = settings.batch_size - streamsInState('running').length
+    const queued = [...streamsInState('queued')].sort((a, b) => b.request.priority - a.request.priority || a.arrivalIndex - b.arrivalIndex)
     for (const stream of queued.slice(0, Math.max(0, freeCount))) {
       if (kvUsedMb() >= settings.kv_capacity_mb) return
       run(stream).finally(fillBatch)
     }
   }
 
-  const checkTarget = (request: GenerateRequest): void => {
+  const checkResident = (request: GenerateRequest): void => {
     const resident = memory().residents.get(request.model)
     if (resident?.state !== 'ready') throw new ConnectError('the model is not resident', Code.NotFound)
     if (request.version !== resident.version) throw new ConnectError(`version ${resident.version} is resident`, Code.NotFound)
@@ -152,11 +152,11 @@
     stream.state = 'ended'
     stream.endReason = reason
     events.emit(StandinEvent.generateEnded, { attemptId: stream.request.streamId, model: stream.request.model, reason })
-    forgetLater(stream)
-    wakeReaders(stream)
+    scheduleRemoval(stream)
+    notifyReaders(stream)
   }
 
-  const find = (streamId: string): Stream => {
+  const getStream = (streamId: string): Stream => {
     const stream = streams.get(streamId)
     if (!stream) throw new ConnectError(`stream ${streamId} is unknown`, Code.NotFound)
     return stream
@@ -167,11 +167,11 @@
   const start = (request: GenerateRequest): void => {
     if (request.streamId === '') throw new ConnectError('streamId is missing', Code.InvalidArgument)
     if (streams.has(request.streamId)) throw new ConnectError(`stream ${request.streamId} is known`, Code.AlreadyExists)
-    checkTarget(request)
+    checkResident(request)
     const stream: Stream = {
       request,
-      order: nextOrder++,
-      resumedFromKv: imported.delete(request.streamId),
+      arrivalIndex: nextArrivalIndex++,
+      isResumedFromKv: imported.delete(request.streamId),
       tokens: [...request.doneTokens],
       waiting: new Set(),
       state: 'queued',
@@ -182,13 +182,13 @@
     fillBatch()
   }
 
-  const waitForMore = async (stream: Stream, signal: AbortSignal): Promise<void> => await new Promise(resolve => {
+  const waitForTokens = async (stream: Stream, signal: AbortSignal): Promise<void> => await new Promise(resolve => {
     stream.waiting.add(resolve)
     signal.addEventListener('abort', () => resolve(), { once: true })
   })
 
   const chunks = async function * (streamId: string, fromTokenIndex: number, signal: AbortSignal): AsyncGenerator<TokenChunk> {
-    const stream = find(streamId)
+    const stream = getStream(streamId)
     let index = fromTokenIndex
     while (!signal.aborted) {
       const tokens = stream.tokens.slice(index)
@@ -199,7 +199,7 @@
       }
       if (last) return
       if (stream.state === 'ended') throw new ConnectError(`stream ended: ${stream.endReason}`, Code.Aborted)
-      if (stream.tokens.length === index) await waitForMore(stream, signal)
+      if (stream.tokens.length === index) await waitForTokens(stream, signal)
     }
   }
 
@@ -213,14 +213,14 @@
       fillBatch()
       return true
     },
-    endModel: model => {
+    endModelStreams: model => {
       for (const stream of streams.values()) {
         if (stream.request.model === model && isActive(stream)) end(stream, 'model unloaded')
       }
-      cache = dropModelPrefixes(cache, model, timers.nowMs())
+      cache = removeModelPrefixes(cache, model, timers.nowMs())
     },
     exportKv: streamId => {
-      const stream = find(streamId)
+      const stream = getStream(streamId)
       const { model, version, adapter, prompt } = stream.request
       const kv = Buffer.from(JSON.stringify({ model, version, adapter, prompt, tokens: stream.tokens }))
       return { kv, tokenCount: stream.tokens.length }
@@ -231,7 +231,7 @@
     },
     cache: () => cache,
     streamIds: () => [...streams.values()].filter(isActive).map(stream => stream.request.streamId),
-    load: () => ({ runningCount: inState('running').length, queuedCount: inState('queued').length, kvUsedMb: kvUsedMb() }),
+    load: () => ({ runningCount: streamsInState('running').length, queuedCount: streamsInState('queued').length, kvUsedMb: kvUsedMb() }),
     counters: () => ({ runCounts: Object.fromEntries(runCounts), maxRunningCount }),
     setTokenInterval: intervalMs => { tokenIntervalMs = intervalMs }
   }
--- a/packages/standin/src/engine/memoryState.ts
+++ b/packages/standin/src/engine/memoryState.ts
@@ -5,25 +5,25 @@
 const entryMb = (entry: ResidentEntry): number =>
   entry.memoryMb + [...entry.adapters.values()].reduce((sum, mb) => sum + mb, 0)
 
-/** Memory taken by models, adapters and loads that are under way. */
+/** Memory reserved for models and adapters, including loads in progress. */
 export const usedMb = (state: MemoryState): number =>
   [...state.residents.values()].reduce((sum, entry) => sum + entryMb(entry), 0)
 
 export const fits = (state: MemoryState, memoryMb: number): boolean => usedMb(state) + memoryMb <= state.capacityMb
 
-export const putResident = (state: MemoryState, entry: ResidentEntry): MemoryState =>
+export const setResident = (state: MemoryState, entry: ResidentEntry): MemoryState =>
   ({ ...state, residents: new Map(state.residents).set(entry.model, entry) })
 
-export const dropResident = (state: MemoryState, model: string): MemoryState => {
+export const removeResident = (state: MemoryState, model: string): MemoryState => {
   const residents = new Map(state.residents)
   residents.delete(model)
   return { ...state, residents }
 }
 
-export const putAdapter = (entry: ResidentEntry, adapter: string, memoryMb: number): ResidentEntry =>
+export const setAdapter = (entry: ResidentEntry, adapter: string, memoryMb: number): ResidentEntry =>
   ({ ...entry, adapters: new Map(entry.adapters).set(adapter, memoryMb) })
 
-export const dropAdapter = (entry: ResidentEntry, adapter: string): ResidentEntry => {
+export const removeAdapter = (entry: ResidentEntry, adapter: string): ResidentEntry => {
   const adapters = new Map(entry.adapters)
   adapters.delete(adapter)
   return { ...entry, adapters }
--- a/packages/standin/src/engine/startEngine.test.ts
+++ b/packages/standin/src/engine/startEngine.test.ts
@@ -9,9 +9,9 @@
 import type { GenerateChunk } from '@figmount/schema'
 import type { StandinUnderTest } from '../testing/startForTest.js'
 
-const ORDER = { fence: 5n, orderDeadlineMs: 1000, model: 's/m', version: 'v1', memoryMb: 600, checkpointMb: 100 }
-const ASK = { streamId: 'st-1', model: 's/m', version: 'v1', prompt: 'crack on the north wall', maxTokens: 6 }
-const SOURCE = { model: 's/m', version: 'v1', adapter: '', prompt: ASK.prompt }
+const LOAD_ORDER = { fence: 5n, orderDeadlineMs: 1000, model: 's/m', version: 'v1', memoryMb: 600, checkpointMb: 100 }
+const GENERATE_REQUEST = { streamId: 'st-1', model: 's/m', version: 'v1', prompt: 'crack on the north wall', maxTokens: 6 }
+const TOKEN_SOURCE = { model: 's/m', version: 'v1', adapter: '', prompt: GENERATE_REQUEST.prompt }
 
 const codeOf = async (call: Promise<unknown>): Promise<string> =>
   await call.then(() => 'ok', (error: Error) => /\[(\w+)\]/.exec(error.message)?.[1] ?? error.message)
@@ -41,80 +41,80 @@
   beforeEach(async () => await start({}))
   afterEach(async () => await standin.stop())
 
-  it('gives the expected tokens', async () => {
-    await engine.load(ORDER)
-    expect(await collect(engine.generate(ASK))).to.deep.equal(expectedTokens(SOURCE, 6))
+  it('generates the expected tokens', async () => {
+    await engine.load(LOAD_ORDER)
+    expect(await collect(engine.generate(GENERATE_REQUEST))).to.deep.equal(expectedTokens(TOKEN_SOURCE, 6))
   })
 
-  it('goes on behind done tokens', async () => {
-    await engine.load(ORDER)
-    const all = expectedTokens(SOURCE, 6)
+  it('continues after the done tokens', async () => {
+    await engine.load(LOAD_ORDER)
+    const all = expectedTokens(TOKEN_SOURCE, 6)
     const chunks: GenerateChunk[] = []
-    for await (const chunk of engine.generate({ ...ASK, doneTokens: all.slice(0, 4) })) chunks.push(chunk)
+    for await (const chunk of engine.generate({ ...GENERATE_REQUEST, doneTokens: all.slice(0, 4) })) chunks.push(chunk)
     expect(chunks[0]?.firstTokenIndex).to.equal(4)
     expect(chunks.flatMap(chunk => chunk.tokens)).to.deep.equal(all.slice(4))
   })
 
-  // The connection of a stream breaks after its first chunk; the caller would lose the
-  // rest, unless the engine goes on and a new connection can ask for it.
+  // The connection of a stream breaks after its first chunk. The caller loses the remaining tokens unless the engine continues the
+  // stream and a new connection can resume it.
   it('resumes a stream whose connection broke', async () => {
-    await engine.load(ORDER)
+    await engine.load(LOAD_ORDER)
     const breaking = new AbortController()
-    await takeFirst(engine.generate(ASK, { signal: breaking.signal }))
+    await takeFirst(engine.generate(GENERATE_REQUEST, { signal: breaking.signal }))
     breaking.abort()
-    expect(await collect(engine.resume({ streamId: 'st-1', fromTokenIndex: 0 }))).to.deep.equal(expectedTokens(SOURCE, 6))
-    expect(await codeOf(takeFirst(engine.generate(ASK)))).to.equal('already_exists')
+    expect(await collect(engine.resume({ streamId: 'st-1', fromTokenIndex: 0 }))).to.deep.equal(expectedTokens(TOKEN_SOURCE, 6))
+    expect(await codeOf(takeFirst(engine.generate(GENERATE_REQUEST)))).to.equal('already_exists')
   })
 
   it('stops a cancelled stream', async () => {
-    await engine.load(ORDER)
-    const stream = engine.generate({ ...ASK, maxTokens: 10_000 })
+    await engine.load(LOAD_ORDER)
+    const stream = engine.generate({ ...GENERATE_REQUEST, maxTokens: 10_000 })
     const reading = codeOf(collect(stream))
     await engine.loadReport({})
     while (!(await engine.cancel({ streamId: 'st-1' })).wasRunning) await engine.loadReport({})
     expect(await reading).to.equal('aborted')
   })
 
-  it('refuses what does not fit', async () => {
-    await engine.load(ORDER)
-    expect(await codeOf(engine.load({ ...ORDER, model: 's/other' }))).to.equal('resource_exhausted')
+  it('refuses a model that does not fit into memory', async () => {
+    await engine.load(LOAD_ORDER)
+    expect(await codeOf(engine.load({ ...LOAD_ORDER, model: 's/other' }))).to.equal('resource_exhausted')
     await engine.unload({ fence: 5n, model: 's/m' })
-    expect(await codeOf(engine.load({ ...ORDER, model: 's/other' }))).to.equal('ok')
+    expect(await codeOf(engine.load({ ...LOAD_ORDER, model: 's/other' }))).to.equal('ok')
     expect((await engine.inventory({})).memoryUsedMb).to.equal(600)
   })
 
-  it('refuses an old fence of the same model', async () => {
-    await engine.load(ORDER)
+  it('refuses an order with an older fence for the same model', async () => {
+    await engine.load(LOAD_ORDER)
     expect(await codeOf(engine.unload({ fence: 4n, model: 's/m' }))).to.equal('failed_precondition')
-    expect(await codeOf(engine.load({ ...ORDER, fence: 1n, model: 's/small', memoryMb: 1 }))).to.equal('ok')
+    expect(await codeOf(engine.load({ ...LOAD_ORDER, fence: 1n, model: 's/small', memoryMb: 1 }))).to.equal('ok')
   })
 
-  it('ignores fences where told so', async () => {
+  it('ignores fences when enforces_fence is false', async () => {
     await standin.stop()
     await start({ enforces_fence: 'false' })
-    await engine.load(ORDER)
+    await engine.load(LOAD_ORDER)
     expect(await codeOf(engine.unload({ fence: 4n, model: 's/m' }))).to.equal('ok')
     expect((await engine.inventory({})).enforcesFence).to.equal(false)
   })
 
   it('does not start an order after its deadline', async () => {
     await standin.command({ action: 'slow', delayMs: 30 })
-    expect(await codeOf(engine.load({ ...ORDER, orderDeadlineMs: 5 }))).to.equal('deadline_exceeded')
+    expect(await codeOf(engine.load({ ...LOAD_ORDER, orderDeadlineMs: 5 }))).to.equal('deadline_exceeded')
     expect((await engine.inventory({})).models).to.have.length(0)
   })
 
-  it('loads once when asked twice at a time', async () => {
-    await Promise.all([engine.load(ORDER), engine.load(ORDER)])
+  it('loads a model once for two concurrent orders', async () => {
+    await Promise.all([engine.load(LOAD_ORDER), engine.load(LOAD_ORDER)])
     expect(standin.events().filter(event => event.name === 'loadStarted')).to.have.length(1)
   })
 
   it('serves higher priority first', async () => {
     await standin.stop()
     await start({ batch_size: 1 })
-    await engine.load(ORDER)
-    const blocking = codeOf(collect(engine.generate({ ...ASK, streamId: 'first', maxTokens: 100_000 })))
+    await engine.load(LOAD_ORDER)
+    const blocking = codeOf(collect(engine.generate({ ...GENERATE_REQUEST, streamId: 'first', maxTokens: 100_000 })))
     while (standin.events().every(event => event.name !== 'generateStarted')) await engine.inventory({})
-    const waiting = [0, 9, 1].map(async priority => await collect(engine.generate({ ...ASK, streamId: `p${priority}`, priority })))
+    const waiting = [0, 9, 1].map(async priority => await collect(engine.generate({ ...GENERATE_REQUEST, streamId: `p${priority}`, priority })))
     while ((await engine.inventory({})).streamIds.length < 4) await engine.inventory({})
     await engine.cancel({ streamId: 'first' })
     await Promise.all([blocking, ...waiting])
@@ -122,12 +122,12 @@
     expect(started).to.deep.equal(['first', 'p9', 'p1', 'p0'])
   })
 
-  it('moves the KV cache of a stream', async () => {
-    await engine.load(ORDER)
-    await collect(engine.generate(ASK))
+  it('resumes from an exported and imported KV cache', async () => {
+    await engine.load(LOAD_ORDER)
+    await collect(engine.generate(GENERATE_REQUEST))
     const { kv, tokenCount } = await engine.exportKv({ streamId: 'st-1' })
     expect(tokenCount).to.equal(6)
     await engine.importKv({ streamId: 'st-2', kv })
-    expect(await collect(engine.generate({ ...ASK, streamId: 'st-2' }))).to.deep.equal(expectedTokens(SOURCE, 6))
+    expect(await collect(engine.generate({ ...GENERATE_REQUEST, streamId: 'st-2' }))).to.deep.equal(expectedTokens(TOKEN_SOURCE, 6))
   })
 })
--- a/packages/standin/src/engine/tokens.ts
+++ b/packages/standin/src/engine/tokens.ts
@@ -1,6 +1,6 @@
 import { hash64 } from '@figmount/base'
 
-/** What the tokens of an answer depend on. */
+/** Inputs that determine the tokens of an answer. */
 export interface TokenSource {
   readonly model: string
   readonly version: string
@@ -10,22 +10,22 @@
 
 const HASH_DIGITS = 12
 
-/** A prompt with `length=N` ends of itself after N tokens. */
+/** An answer to a prompt with `length=N` ends after N tokens with finish reason STOP. */
 const LENGTH_PATTERN = /\blength=(\d+)/
 
-/** Token `index` of the answer. Anyone can work it out, so a caller can check an answer. */
+/** Returns token `index` of the answer. It depends only on `source`, so a caller can compute it and verify an answer. */
 export const tokenAt = (source: TokenSource, index: number): string => {
   const key = [source.model, source.version, source.adapter, source.prompt].join('\u0000')
   return `${hash64(key).toString(16).slice(0, HASH_DIGITS)}-${index} `
 }
 
-/** Number of tokens of the whole answer and whether it ends of itself. */
+/** Returns the number of tokens of the complete answer; `stops` is false if `maxTokens` cuts it off. */
 export const answerLength = (prompt: string, maxTokens: number): { readonly tokenCount: number, readonly stops: boolean } => {
-  const asked = Number(LENGTH_PATTERN.exec(prompt)?.[1] ?? Infinity)
-  return asked <= maxTokens ? { tokenCount: asked, stops: true } : { tokenCount: maxTokens, stops: false }
+  const requestedCount = Number(LENGTH_PATTERN.exec(prompt)?.[1] ?? Infinity)
+  return requestedCount <= maxTokens ? { tokenCount: requestedCount, stops: true } : { tokenCount: maxTokens, stops: false }
 }
 
-/** The whole answer. */
+/** Returns all tokens of the complete answer. */
 export const expectedTokens = (source: TokenSource, maxTokens: number): readonly string[] => {
   const { tokenCount } = answerLength(source.prompt, maxTokens)
   return Array.from({ length: tokenCount }, (_, index) => tokenAt(source, index))
--- a/packages/standin/src/engine/types.ts
+++ b/packages/standin/src/engine/types.ts
@@ -1,7 +1,7 @@
 import type { EventLog, Metrics, TimerService } from '@figmount/base'
 import type { EngineSettings } from './settings.js'
 
-/** A model in accelerator memory, or on its way there. */
+/** A model in accelerator memory, or one that is being loaded into it. */
 export interface ResidentEntry {
   readonly model: string
   readonly version: string
@@ -11,13 +11,13 @@
   readonly adapters: ReadonlyMap<string, number>
 }
 
-/** What the engine's memory holds. */
+/** The resident models, by name, and the capacity of the engine's accelerator memory. */
 export interface MemoryState {
   readonly capacityMb: number
   readonly residents: ReadonlyMap<string, ResidentEntry>
 }
 
-export interface EngineParts {
+export interface EngineContext {
   readonly settings: EngineSettings
   readonly timers: TimerService
   readonly events: EventLog
@@ -25,5 +25,5 @@
   readonly instance: string
 }
 
-/** Where a checkpoint lies. */
+/** Where a checkpoint is stored: host memory, local disk or the weight store. */
 export type Tier = 'memory' | 'disk' | 'remote'
--- a/packages/standin/src/index.ts
+++ b/packages/standin/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform and for backend servers, for tests and the demo. */
+/** Stand-ins for the platform's services and for backend servers, for tests and the demo. */
 export { StandinEvent } from './events.js'
 export { answerLength, expectedTokens, tokenAt } from './engine/tokens.js'
 export type { TokenSource } from './engine/tokens.js'
--- a/packages/standin/src/instances/listState.ts
+++ b/packages/standin/src/instances/listState.ts
@@ -1,6 +1,6 @@
 import type { ListedInstance, ListVersion } from './types.js'
 
-/** Adds an instance or puts it in the place of the one with its name. */
+/** Adds an instance, replacing the one with the same name. */
 export const setInstance = (instances: readonly ListedInstance[], instance: ListedInstance): readonly ListedInstance[] =>
   [...instances.filter(listed => listed.name !== instance.name), instance]
 
@@ -10,7 +10,7 @@
 export const markLeaving = (instances: readonly ListedInstance[], name: string): readonly ListedInstance[] =>
   instances.map(listed => listed.name === name ? { ...listed, leaving: true } : listed)
 
-/** The list that a reader sees now: the newest version that is at least `lagMs` old, else the first. */
+/** Returns the list that readers see now: the newest version that is at least `lagMs` old, else the oldest one. */
 export const visibleList = (versions: readonly ListVersion[], lagMs: number, nowMs: number): readonly ListedInstance[] => {
   for (const version of [...versions].reverse()) {
     if (nowMs - version.atMs >= lagMs) return version.instances
@@ -18,13 +18,13 @@
   return versions[0]?.instances ?? []
 }
 
-/** Forgets versions that no reader can see any more. */
+/** Removes versions that no reader can see any more. */
 export const pruneVersions = (versions: readonly ListVersion[], lagMs: number, nowMs: number): readonly ListVersion[] => {
-  const firstNeeded = versions.findLastIndex(version => nowMs - version.atMs >= lagMs)
-  return firstNeeded > 0 ? versions.slice(firstNeeded) : versions
+  const firstVisible = versions.findLastIndex(version => nowMs - version.atMs >= lagMs)
+  return firstVisible > 0 ? versions.slice(firstVisible) : versions
 }
 
-/** Reads `name role dataCentre peerAddress [backendAddress]`, several parted by commas. */
+/** Parses comma-separated entries of the form `name role dataCentre peerAddress [backendAddress]`. */
 export const parseInstances = (text: string): readonly ListedInstance[] => {
   const entries = text.split(',').map(entry => entry.trim()).filter(entry => entry !== '')
   return entries.map(entry => {
--- a/packages/standin/src/instances/settings.ts
+++ b/packages/standin/src/instances/settings.ts
@@ -3,9 +3,9 @@
 /** Settings of the stand-in for the platform's list of instances. */
 export const instancesSettings = z.strictObject({
   kind: z.literal('instances'),
-  /** Time after which a change of the list is seen. */
+  /** Time after which readers see a change of the list. */
   lag_ms: z.coerce.number().min(0).default(0),
-  /** `name role dataCentre peerAddress [backendAddress]`, parted by commas. */
+  /** Comma-separated entries `name role dataCentre peerAddress [backendAddress]`. */
   instances: z.string().default('')
 })
 
--- a/packages/standin/src/instances/startInstances.ts
+++ b/packages/standin/src/instances/startInstances.ts
@@ -2,7 +2,7 @@
 import { InstanceList, InstanceRole } from '@figmount/schema'
 import * as z from 'zod'
 
-import { createGate, gateCommand } from '../control/createGate.js'
+import { createFaultInjector, faultCommand } from '../control/createFaultInjector.js'
 import { handleControl } from '../control/handleControl.js'
 import { StandinEvent } from '../events.js'
 import { markLeaving, parseInstances, pruneVersions, removeInstance, setInstance, visibleList } from './listState.js'
@@ -12,7 +12,7 @@
 import type { InstancesSettings } from './settings.js'
 import type { ListedInstance, ListVersion } from './types.js'
 
-const instance = z.strictObject({
+const instanceSchema = z.strictObject({
   name: z.string().min(1),
   role: z.enum(['router', 'agent']),
   dataCentre: z.string(),
@@ -21,9 +21,9 @@
   leaving: z.boolean().default(false)
 })
 
-const command = z.discriminatedUnion('action', [
-  ...gateCommand.options,
-  z.strictObject({ action: z.literal('set'), instance }),
+const commandSchema = z.discriminatedUnion('action', [
+  ...faultCommand.options,
+  z.strictObject({ action: z.literal('set'), instance: instanceSchema }),
   z.strictObject({ action: z.literal('remove'), name: z.string() }),
   z.strictObject({ action: z.literal('leaving'), name: z.string() }),
   z.strictObject({ action: z.literal('lag'), lagMs: z.number().min(0) })
@@ -37,31 +37,31 @@
 /** Starts the stand-in for the platform's list of instances. */
 export const startInstances = async (context: StandinContext<InstancesSettings>): Promise<StartedStandin> => {
   const { settings, timers, events, metrics } = context
-  const gate = createGate(timers)
+  const faultInjector = createFaultInjector(timers)
   let lagMs = settings.lag_ms
   let versions: readonly ListVersion[] = [{ atMs: -Infinity, instances: parseInstances(settings.instances) }]
 
-  const latest = (): readonly ListedInstance[] => versions.at(-1)?.instances ?? []
+  const latestInstances = (): readonly ListedInstance[] => versions.at(-1)?.instances ?? []
 
-  const change = (instances: readonly ListedInstance[]): void => {
+  const setInstances = (instances: readonly ListedInstance[]): void => {
     const nowMs = timers.nowMs()
     versions = pruneVersions([...versions, { atMs: nowMs, instances }], lagMs, nowMs)
     events.emit(StandinEvent.listChanged, { count: instances.length, detail: instances.map(listed => listed.name).join(' ') })
   }
 
-  const run = (given: unknown): unknown => {
-    const asked = command.parse(given)
-    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(asked) })
-    if (asked.action === 'set') change(setInstance(latest(), asked.instance))
-    else if (asked.action === 'remove') change(removeInstance(latest(), asked.name))
-    else if (asked.action === 'leaving') change(markLeaving(latest(), asked.name))
-    else if (asked.action === 'lag') lagMs = asked.lagMs
-    else gate.run(asked)
-    return { instances: latest() }
+  const run = (input: unknown): unknown => {
+    const command = commandSchema.parse(input)
+    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(command) })
+    if (command.action === 'set') setInstances(setInstance(latestInstances(), command.instance))
+    else if (command.action === 'remove') setInstances(removeInstance(latestInstances(), command.name))
+    else if (command.action === 'leaving') setInstances(markLeaving(latestInstances(), command.name))
+    else if (command.action === 'lag') lagMs = command.lagMs
+    else faultInjector.run(command)
+    return { instances: latestInstances() }
   }
 
   const list = async (): Promise<{ instances: object[] }> => {
-    await gate.pass()
+    await faultInjector.applyFaults()
     return { instances: visibleList(versions, lagMs, timers.nowMs()).map(toMessage) }
   }
 
@@ -70,7 +70,7 @@
     port: context.port,
     metrics,
     routes: router => { router.service(InstanceList, { list }) },
-    handlePlain: handleControl({ dump: () => ({ gate: gate.state(), lagMs, instances: latest() }), run })
+    handlePlain: handleControl({ dump: () => ({ gate: faultInjector.state(), lagMs, instances: latestInstances() }), run })
   })
   return { address: server.address, stop: server.close }
 }
--- a/packages/standin/src/instances/types.ts
+++ b/packages/standin/src/instances/types.ts
@@ -1,4 +1,4 @@
-/** One entry of the platform's list. */
+/** One entry of the platform's instance list. */
 export interface ListedInstance {
   readonly name: string
   readonly role: 'router' | 'agent'
@@ -8,7 +8,7 @@
   readonly leaving: boolean
 }
 
-/** The list as it became at a point of time. */
+/** The list of instances from `atMs` on, until the next version. */
 export interface ListVersion {
   readonly atMs: number
   readonly instances: readonly ListedInstance[]
--- a/packages/standin/src/log/startLog.test.ts
+++ b/packages/standin/src/log/startLog.test.ts
@@ -14,7 +14,7 @@
   beforeEach(async () => { standin = await startForTest({ kind: 'log', appends_per_second: 4 }) })
   afterEach(async () => await standin.stop())
 
-  it('wakes a waiting read', async () => {
+  it('answers a waiting read when records are appended', async () => {
     const log = createClient(PlatformLog, standin.transport)
     const waiting = log.read({ fromOffset: 0n, maxCount: 10, waitMs: 20_000 })
     await log.append({ payloads: [Uint8Array.of(7), Uint8Array.of(8)] })
@@ -23,7 +23,7 @@
     expect(headOffset).to.equal(2n)
   })
 
-  it('keeps a record whose answer was lost', async () => {
+  it('stores a record whose answer was lost', async () => {
     const log = createClient(PlatformLog, standin.transport)
     await standin.command({ action: 'lose', count: 1 })
     expect(await codeOf(log.append({ payloads: [Uint8Array.of(9)] }))).to.equal('unavailable')
@@ -31,7 +31,7 @@
     expect(records.map(record => record.payload[0])).to.deep.equal([9])
   })
 
-  it('refuses appends over its rate', async () => {
+  it('refuses appends over its rate limit', async () => {
     const log = createClient(PlatformLog, standin.transport)
     const codes: string[] = []
     for (let index = 0; index < 12; index += 1) codes.push(await codeOf(log.append({ payloads: [Uint8Array.of(index)] })))
@@ -39,7 +39,7 @@
     expect(codes).to.include('resource_exhausted')
   })
 
-  it('answers nothing during an outage', async () => {
+  it('fails reads during an outage', async () => {
     const log = createClient(PlatformLog, standin.transport)
     await standin.command({ action: 'outage', on: true })
     expect(await codeOf(log.read({ fromOffset: 0n, maxCount: 10, waitMs: 0 }))).to.equal('unavailable')
--- a/packages/standin/src/log/startLog.ts
+++ b/packages/standin/src/log/startLog.ts
@@ -3,7 +3,7 @@
 import { PlatformLog } from '@figmount/schema'
 import * as z from 'zod'
 
-import { createGate, gateCommand } from '../control/createGate.js'
+import { createFaultInjector, faultCommand } from '../control/createFaultInjector.js'
 import { createTokenBucket } from '../control/createTokenBucket.js'
 import { handleControl } from '../control/handleControl.js'
 import { StandinEvent } from '../events.js'
@@ -14,14 +14,14 @@
 import type { StartedStandin } from '../control/types.js'
 import type { LogSettings } from './settings.js'
 
-/** Longest time that a read may wait, whatever it asks for. */
+/** Maximum time that a read may wait, even if it requests more. */
 const MAX_WAIT_MS = 30_000
 
-/** Most records in one answer. */
+/** Maximum number of records in one answer. */
 const MAX_READ_COUNT = 1000
 
-const command = z.discriminatedUnion('action', [
-  ...gateCommand.options,
+const commandSchema = z.discriminatedUnion('action', [
+  ...faultCommand.options,
   z.strictObject({ action: z.literal('lose'), count: z.number().int().min(0) }),
   z.strictObject({ action: z.literal('expire'), belowOffset: z.number().int().min(0) })
 ])
@@ -29,22 +29,22 @@
 /** Starts the stand-in for the platform's append-only log. */
 export const startLog = async (context: StandinContext<LogSettings>): Promise<StartedStandin> => {
   const { settings, timers, events, metrics } = context
-  const gate = createGate(timers)
+  const faultInjector = createFaultInjector(timers)
   const bucket = createTokenBucket(timers, settings.appends_per_second, Math.max(1, settings.appends_per_second / 2))
   const retention = { retentionMs: settings.retention_ms, retentionCount: settings.retention_count }
-  const waiting = new Set<() => void>()
+  const waitingReaders = new Set<() => void>()
   let state = EMPTY_LOG
   let loseCount = 0
   let appendCount = 0
 
-  const wakeReaders = (): void => {
-    const woken = [...waiting]
-    waiting.clear()
-    for (const wake of woken) wake()
+  const notifyReaders = (): void => {
+    const readers = [...waitingReaders]
+    waitingReaders.clear()
+    for (const notify of readers) notify()
   }
 
   const append = async (request: AppendRequest): Promise<{ firstOffset: bigint }> => {
-    await gate.pass()
+    await faultInjector.applyFaults()
     const retryAfterMs = bucket.take()
     if (retryAfterMs > 0) {
       events.emit(StandinEvent.appendRefused, { retryAfterMs })
@@ -54,7 +54,7 @@
     state = expireRecords(appendRecords(state, request.payloads, timers.unixMs()), retention, timers.unixMs())
     appendCount += 1
     events.emit(StandinEvent.recordsAppended, { offset: firstOffset, count: request.payloads.length })
-    wakeReaders()
+    notifyReaders()
     if (loseCount > 0) {
       loseCount -= 1
       events.emit(StandinEvent.answerLost, { offset: firstOffset })
@@ -66,23 +66,23 @@
   const waitForRecord = async (fromOffset: number, waitMs: number, signal: AbortSignal): Promise<void> => {
     const deadlineMs = timers.nowMs() + Math.min(waitMs, MAX_WAIT_MS)
     while (state.headOffset <= fromOffset && !signal.aborted) {
-      const leftMs = deadlineMs - timers.nowMs()
-      if (leftMs <= 0) return
-      const stop = new AbortController()
-      const wake = (): void => stop.abort()
-      signal.addEventListener('abort', wake, { once: true })
-      waiting.add(wake)
-      await sleep(timers, leftMs, stop.signal)
-      waiting.delete(wake)
-      signal.removeEventListener('abort', wake)
+      const remainingMs = deadlineMs - timers.nowMs()
+      if (remainingMs <= 0) return
+      const waitAbort = new AbortController()
+      const notify = (): void => waitAbort.abort()
+      signal.addEventListener('abort', notify, { once: true })
+      waitingReaders.add(notify)
+      await sleep(timers, remainingMs, waitAbort.signal)
+      waitingReaders.delete(notify)
+      signal.removeEventListener('abort', notify)
     }
   }
 
   const read = async (request: ReadRequest, signal: AbortSignal): Promise<object> => {
-    await gate.pass()
+    await faultInjector.applyFaults()
     const fromOffset = Number(request.fromOffset)
     await waitForRecord(fromOffset, request.waitMs, signal)
-    await gate.pass()
+    await faultInjector.applyFaults()
     state = expireRecords(state, retention, timers.unixMs())
     const records = readRecords(state, fromOffset, Math.min(request.maxCount || MAX_READ_COUNT, MAX_READ_COUNT))
     return {
@@ -92,21 +92,21 @@
     }
   }
 
-  const run = (given: unknown): unknown => {
-    const asked = command.parse(given)
-    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(asked) })
-    if (asked.action === 'lose') loseCount = asked.count
-    else if (asked.action === 'expire') {
-      const kept = state.records.filter(record => record.offset >= asked.belowOffset)
-      state = { ...state, records: kept, oldestOffset: kept[0]?.offset ?? state.headOffset }
-    } else gate.run(asked)
-    // An outage ends the reads that are waiting as well.
-    wakeReaders()
+  const run = (input: unknown): unknown => {
+    const command = commandSchema.parse(input)
+    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(command) })
+    if (command.action === 'lose') loseCount = command.count
+    else if (command.action === 'expire') {
+      const remaining = state.records.filter(record => record.offset >= command.belowOffset)
+      state = { ...state, records: remaining, oldestOffset: remaining[0]?.offset ?? state.headOffset }
+    } else faultInjector.run(command)
+    // Notifies waiting reads. They wait again until a record arrives or their wait ends, so an outage fails them only then.
+    notifyReaders()
     return { headOffset: state.headOffset }
   }
 
   const dump = (): unknown => ({
-    gate: gate.state(), oldestOffset: state.oldestOffset, headOffset: state.headOffset, appendCount, loseCount
+    gate: faultInjector.state(), oldestOffset: state.oldestOffset, headOffset: state.headOffset, appendCount, loseCount
   })
 
   const server = await serveRpc({
--- a/packages/standin/src/log/types.ts
+++ b/packages/standin/src/log/types.ts
@@ -1,18 +1,18 @@
-/** A record as the log keeps it. */
-export interface KeptRecord {
+/** A record of the log with its offset and append time. */
+export interface StoredRecord {
   readonly offset: number
   readonly appendedAtMs: number
   readonly payload: Uint8Array
 }
 
-/** The log: `records` are those still kept, `headOffset` is the offset of the next one. */
+/** The log's state: `records` are those still retained, `headOffset` is the offset of the next record. */
 export interface LogState {
-  readonly records: readonly KeptRecord[]
+  readonly records: readonly StoredRecord[]
   readonly oldestOffset: number
   readonly headOffset: number
 }
 
-/** How long and how many records are kept. */
+/** Maximum age and number of retained records. */
 export interface Retention {
   readonly retentionMs: number
   readonly retentionCount: number
--- a/packages/standin/src/plain/startPlain.test.ts
+++ b/packages/standin/src/plain/startPlain.test.ts
@@ -3,7 +3,7 @@
 import { startForTest } from '../testing/startForTest.js'
 
 describe('plain stand-in', () => {
-  it('counts the calls of a key', async () => {
+  it('counts calls by request key', async () => {
     const standin = await startForTest({ kind: 'plain', delay_ms: 0 })
     const call = async (key: string): Promise<unknown> =>
       await (await fetch(`http://${standin.address}/bill`, { method: 'POST', headers: { 'figmount-request-key': key }, body: 'wall' })).json()
--- a/packages/standin/src/plain/startPlain.ts
+++ b/packages/standin/src/plain/startPlain.ts
@@ -9,18 +9,18 @@
 import type { StandinContext } from '../settings/types.js'
 import type { PlainSettings } from './settings.js'
 
-/** Header by which calls are counted. */
+/** Header whose value the calls are counted by. */
 export const REQUEST_KEY_HEADER = 'figmount-request-key'
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024
 
-const command = z.discriminatedUnion('action', [
+const commandSchema = z.discriminatedUnion('action', [
   z.strictObject({ action: z.literal('slow'), delayMs: z.number().min(0) }),
-  /** The next calls are carried out and their connection is cut before the answer. */
+  /** The next `count` calls are executed, but their connections are closed before the answer. */
   z.strictObject({ action: z.literal('lose'), count: z.number().int().min(0) })
 ])
 
-/** Starts a plain HTTP service that says how often a request key was carried out. */
+/** Starts a plain HTTP service whose answers contain the number of calls with the same request key. */
 export const startPlain = async (context: StandinContext<PlainSettings>): Promise<StartedStandin> => {
   const { settings, timers, events, metrics } = context
   const callCounts = new Map<string, number>()
@@ -43,11 +43,11 @@
     response.end(JSON.stringify({ key, count, method: request.method, path: request.url, bodyBytes: body?.length ?? 0 }))
   }
 
-  const run = (given: unknown): unknown => {
-    const asked = command.parse(given)
-    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(asked) })
-    if (asked.action === 'slow') delayMs = asked.delayMs
-    else loseCount = asked.count
+  const run = (input: unknown): unknown => {
+    const command = commandSchema.parse(input)
+    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(command) })
+    if (command.action === 'slow') delayMs = command.delayMs
+    else loseCount = command.count
     return {}
   }
 
--- a/packages/standin/src/proxy/pumpBytes.ts
+++ b/packages/standin/src/proxy/relayBytes.ts
@@ -4,19 +4,19 @@
 import type { TimerService } from '@figmount/base'
 import type { Fault } from './types.js'
 
-/** One direction of a proxied connection. */
-export interface Pump {
+/** One direction of a proxied connection, with the fault that is applied to it. */
+export interface Relay {
   readonly setFault: (fault: Fault) => void
   readonly fault: () => Fault
 }
 
-/** Passes bytes from one socket to the other, in order, under the fault of the moment. */
-export const pumpBytes = (from: Socket, to: Socket, timers: TimerService, first: Fault): Pump => {
-  let fault = first
-  let wake = (): void => {}
+/** Relays bytes from one socket to the other in order, subject to the fault that is currently set. */
+export const relayBytes = (from: Socket, to: Socket, timers: TimerService, initialFault: Fault): Relay => {
+  let fault = initialFault
+  let resume = (): void => {}
 
   const waitWhileStalled = async (): Promise<void> => {
-    while (fault.kind === 'stall') await new Promise<void>(resolve => { wake = resolve })
+    while (fault.kind === 'stall') await new Promise<void>(resolve => { resume = resolve })
   }
 
   const write = async (chunk: Buffer): Promise<void> => {
@@ -27,25 +27,25 @@
     })
   }
 
-  const pass = async (chunk: Buffer): Promise<void> => {
+  const relayChunk = async (chunk: Buffer): Promise<void> => {
     await waitWhileStalled()
     if (fault.kind === 'drop') return
     if (fault.kind === 'delay') await sleep(timers, fault.delayMs)
     if (fault.kind === 'bandwidth') await sleep(timers, chunk.length * 1000 / fault.bytesPerSecond)
     await waitWhileStalled()
-    // A fault may have come while this chunk waited.
+    // The fault may have changed while this chunk waited.
     if ((fault as Fault).kind === 'drop' || to.destroyed) return
     await write(chunk)
   }
 
   const run = async (): Promise<void> => {
     try {
-      for await (const chunk of from) await pass(chunk as Buffer)
+      for await (const chunk of from) await relayChunk(chunk as Buffer)
     } catch {
-      // The reset of one side is passed on below.
+      // A reset of `from` ends the loop; `to` is closed below.
     }
     await waitWhileStalled()
-    // The end of a connection that has gone silent is not heard on the other side either.
+    // Under a drop fault, the close of one side is not passed on to the other side either.
     if ((fault as Fault).kind === 'drop') return
     to.destroySoon()
   }
@@ -54,7 +54,7 @@
   return {
     setFault: next => {
       fault = next
-      wake()
+      resume()
     },
     fault: () => fault
   }
--- a/packages/standin/src/proxy/startProxy.test.ts
+++ b/packages/standin/src/proxy/startProxy.test.ts
@@ -7,7 +7,7 @@
 import type { AddressInfo, Server, Socket } from 'node:net'
 import type { StandinUnderTest } from '../testing/startForTest.js'
 
-const dial = async (address: string): Promise<Socket> => {
+const openConnection = async (address: string): Promise<Socket> => {
   const socket = connect(Number(address.split(':')[1]), '127.0.0.1')
   socket.on('error', () => {})
   await once(socket, 'connect')
@@ -33,37 +33,36 @@
     await standin.stop()
   })
 
-  // Something between the two ends forgets a connection: what is written on it is
-  // never heard, nothing is closed, and a new connection works.
-  it('silences open connections while new ones work', async () => {
-    const old = await dial(standin.address)
+  // A middlebox loses the state of a connection: bytes written to it are dropped, neither side is closed, and new connections work.
+  it('drops bytes on open connections while new ones work', async () => {
+    const old = await openConnection(standin.address)
     expect(await echo(old, 'one')).to.equal('one')
-    const heard = once(old, 'data')
+    const nextData = once(old, 'data')
     await standin.command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
     old.write('two')
-    const fresh = await dial(standin.address)
+    const fresh = await openConnection(standin.address)
     expect(await echo(fresh, 'three')).to.equal('three')
     await standin.command({ action: 'fault', fault: { kind: 'none' }, scope: 'all' })
     old.write('four')
-    expect(String((await heard)[0])).to.equal('four')
+    expect(String((await nextData)[0])).to.equal('four')
     old.destroy()
     fresh.destroy()
   })
 
-  it('holds bytes back while stalled', async () => {
-    const socket = await dial(standin.address)
+  it('holds bytes back during a stall', async () => {
+    const socket = await openConnection(standin.address)
     expect(await echo(socket, 'one')).to.equal('one')
     await standin.command({ action: 'fault', fault: { kind: 'stall' } })
     const answered = echo(socket, 'two')
-    const fresh = await dial(standin.address)
+    const fresh = await openConnection(standin.address)
     await standin.command({ action: 'fault', fault: { kind: 'none' } })
     expect(await answered).to.equal('two')
     socket.destroy()
     fresh.destroy()
   })
 
-  it('resets open connections when cut', async () => {
-    const socket = await dial(standin.address)
+  it('resets open connections on the cut command', async () => {
+    const socket = await openConnection(standin.address)
     expect(await echo(socket, 'one')).to.equal('one')
     const closed = new Promise(resolve => { socket.once('close', resolve) })
     await standin.command({ action: 'cut' })
--- a/packages/standin/src/proxy/startProxy.ts
+++ b/packages/standin/src/proxy/startProxy.ts
@@ -4,16 +4,16 @@
 
 import { handleControl } from '../control/handleControl.js'
 import { StandinEvent } from '../events.js'
-import { pumpBytes } from './pumpBytes.js'
+import { relayBytes } from './relayBytes.js'
 
 import type { AddressInfo, Socket } from 'node:net'
 import type { StartedStandin } from '../control/types.js'
 import type { StandinContext } from '../settings/types.js'
-import type { Pump } from './pumpBytes.js'
+import type { Relay } from './relayBytes.js'
 import type { ProxySettings } from './settings.js'
 import type { Fault } from './types.js'
 
-const fault = z.discriminatedUnion('kind', [
+const faultSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('none') }),
   z.strictObject({ kind: z.literal('delay'), delayMs: z.number().min(0) }),
   z.strictObject({ kind: z.literal('drop') }),
@@ -21,25 +21,25 @@
   z.strictObject({ kind: z.literal('bandwidth'), bytesPerSecond: z.number().positive() })
 ])
 
-const command = z.discriminatedUnion('action', [
+const commandSchema = z.discriminatedUnion('action', [
   z.strictObject({
     action: z.literal('fault'),
-    fault,
+    fault: faultSchema,
     direction: z.enum(['up', 'down', 'both']).default('both'),
-    /** Which connections: those open now, those opened from now on, or both. */
+    /** Which connections the fault applies to: those open now, those opened from now on, or both. */
     scope: z.enum(['existing', 'new', 'all']).default('all')
   }),
-  /** Resets the open connections. */
+  /** Resets all open connections. */
   z.strictObject({ action: z.literal('cut') }),
   z.strictObject({ action: z.literal('refuse'), on: z.boolean() }),
   z.strictObject({ action: z.literal('target'), target: z.string() })
 ])
 
 interface Connection {
-  readonly near: Socket
-  readonly far: Socket
-  readonly up: Pump
-  readonly down: Pump
+  readonly inbound: Socket
+  readonly outbound: Socket
+  readonly up: Relay
+  readonly down: Relay
 }
 
 const splitAddress = (address: string): { readonly host: string, readonly port: number } => {
@@ -47,65 +47,65 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) }
 }
 
-/** Starts the proxy. Its address is the proxied one; the control surface's address follows in `detail` after a blank. */
+/** Starts the proxy. The returned `address` holds the proxied address and the address of the control API, separated by a space. */
 export const startProxy = async (context: StandinContext<ProxySettings>): Promise<StartedStandin> => {
   const { settings, timers, events, metrics } = context
   const connections = new Set<Connection>()
   let target = settings.target
   let refuse = false
-  let newUp: Fault = { kind: 'none' }
-  let newDown: Fault = { kind: 'none' }
+  let newUpFault: Fault = { kind: 'none' }
+  let newDownFault: Fault = { kind: 'none' }
   let openedCount = 0
 
-  const accept = (near: Socket): void => {
-    near.on('error', () => {})
+  const accept = (inbound: Socket): void => {
+    inbound.on('error', () => {})
     if (refuse || target === '') {
-      near.resetAndDestroy()
+      inbound.resetAndDestroy()
       return
     }
-    const far = connect(splitAddress(target))
-    far.on('error', () => { near.resetAndDestroy() })
-    near.setNoDelay(true)
-    far.setNoDelay(true)
-    const connection = { near, far, up: pumpBytes(near, far, timers, newUp), down: pumpBytes(far, near, timers, newDown) }
+    const outbound = connect(splitAddress(target))
+    outbound.on('error', () => { inbound.resetAndDestroy() })
+    inbound.setNoDelay(true)
+    outbound.setNoDelay(true)
+    const connection = { inbound, outbound, up: relayBytes(inbound, outbound, timers, newUpFault), down: relayBytes(outbound, inbound, timers, newDownFault) }
     connections.add(connection)
     openedCount += 1
     events.emit(StandinEvent.connectionOpened, { peer: target, count: connections.size })
-    near.on('close', () => {
+    inbound.on('close', () => {
       if (!connections.delete(connection)) return
       events.emit(StandinEvent.connectionClosed, { peer: target, count: connections.size })
-      if (connection.up.fault().kind !== 'drop') far.destroySoon()
+      if (connection.up.fault().kind !== 'drop') outbound.destroySoon()
     })
   }
 
   const cut = (): void => {
-    for (const { near, far } of connections) {
-      near.resetAndDestroy()
-      far.resetAndDestroy()
+    for (const { inbound, outbound } of connections) {
+      inbound.resetAndDestroy()
+      outbound.resetAndDestroy()
     }
   }
 
-  const setFault = (asked: Extract<z.infer<typeof command>, { action: 'fault' }>): void => {
-    const up = asked.direction !== 'down'
-    const down = asked.direction !== 'up'
-    if (asked.scope !== 'existing') {
-      if (up) newUp = asked.fault
-      if (down) newDown = asked.fault
+  const setFault = (command: Extract<z.infer<typeof commandSchema>, { action: 'fault' }>): void => {
+    const affectsUp = command.direction !== 'down'
+    const affectsDown = command.direction !== 'up'
+    if (command.scope !== 'existing') {
+      if (affectsUp) newUpFault = command.fault
+      if (affectsDown) newDownFault = command.fault
     }
-    if (asked.scope === 'new') return
+    if (command.scope === 'new') return
     for (const connection of connections) {
-      if (up) connection.up.setFault(asked.fault)
-      if (down) connection.down.setFault(asked.fault)
+      if (affectsUp) connection.up.setFault(command.fault)
+      if (affectsDown) connection.down.setFault(command.fault)
     }
   }
 
-  const run = (given: unknown): unknown => {
-    const asked = command.parse(given)
-    events.emit(StandinEvent.faultSet, { peer: target, detail: JSON.stringify(asked) })
-    if (asked.action === 'fault') setFault(asked)
-    if (asked.action === 'cut') cut()
-    if (asked.action === 'refuse') refuse = asked.on
-    if (asked.action === 'target') target = asked.target
+  const run = (input: unknown): unknown => {
+    const command = commandSchema.parse(input)
+    events.emit(StandinEvent.faultSet, { peer: target, detail: JSON.stringify(command) })
+    if (command.action === 'fault') setFault(command)
+    if (command.action === 'cut') cut()
+    if (command.action === 'refuse') refuse = command.on
+    if (command.action === 'target') target = command.target
     return { openCount: connections.size }
   }
 
@@ -121,9 +121,9 @@
   const { port } = server.address() as AddressInfo
   const stop = async (): Promise<void> => {
     server.close()
-    for (const { near, far } of connections) {
-      near.destroy()
-      far.destroy()
+    for (const { inbound, outbound } of connections) {
+      inbound.destroy()
+      outbound.destroy()
     }
     await control.close()
   }
--- a/packages/standin/src/settings/standinSettings.ts
+++ b/packages/standin/src/settings/standinSettings.ts
@@ -7,7 +7,7 @@
 import { proxySettings } from '../proxy/settings.js'
 import { weightsSettings } from '../weights/settings.js'
 
-/** Settings of `figmount-standin`; `[standin] kind` says what it stands in for. */
+/** Settings of `figmount-standin`; `kind` in `[standin]` selects the stand-in. */
 export const standinSettings = z.strictObject({
   process: z.strictObject({
     instance: z.string().min(1, 'a name'),
--- a/packages/standin/src/settings/types.ts
+++ b/packages/standin/src/settings/types.ts
@@ -1,6 +1,6 @@
 import type { EventLog, Metrics, TimerService } from '@figmount/base'
 
-/** What every stand-in is started with. */
+/** Address, settings and services that every stand-in is started with. */
 export interface StandinContext<Settings> {
   readonly instance: string
   readonly host: string
--- a/packages/standin/src/startStandin.ts
+++ b/packages/standin/src/startStandin.ts
@@ -11,7 +11,7 @@
 import type { StartedStandin } from './control/types.js'
 import type { StandinSettings } from './settings/standinSettings.js'
 
-/** Starts the stand-in that the settings name. */
+/** Starts the stand-in of the kind that the settings name. */
 export const startStandin = async ({ settings, ...context }: ProcessContext<StandinSettings>): Promise<StartedStandin> => {
   const common = { ...context, ...settings.process }
   return await match(settings.standin)
--- a/packages/standin/src/testing/startForTest.ts
+++ b/packages/standin/src/testing/startForTest.ts
@@ -6,7 +6,7 @@
 import type { Transport } from '@connectrpc/connect'
 import type { EventRecord, InstanceName } from '@figmount/base'
 
-/** A stand-in that runs inside a test's own process. */
+/** A stand-in that runs in the process of the test. */
 export interface StandinUnderTest {
   readonly address: string
   readonly transport: Transport
@@ -15,13 +15,13 @@
   readonly stop: () => Promise<void>
 }
 
-/** Sends one command to a control surface. */
+/** Sends one command to a control API. */
 export const sendCommand = async (address: string, command: object): Promise<unknown> => {
   const response = await fetch(`http://${address}/control`, { method: 'POST', body: JSON.stringify(command) })
   return await response.json()
 }
 
-/** Starts a stand-in with the given `[standin]` keys on a port of the system's choice. */
+/** Starts a stand-in with the given `[standin]` keys on a port that the operating system selects. */
 export const startForTest = async (standin: object): Promise<StandinUnderTest> => {
   const timers = createTimerService()
   const events = createEventLog({ instance: 'standin' as InstanceName, role: 'standin', timers })
--- a/packages/standin/src/weights/settings.ts
+++ b/packages/standin/src/weights/settings.ts
@@ -4,9 +4,9 @@
 export const weightsSettings = z.strictObject({
   kind: z.literal('weights'),
   loads_per_second: z.coerce.number().positive().default(4),
-  /** Transfers that run at full speed side by side; more of them share that speed. */
+  /** Number of concurrent transfers that each run at full speed; more transfers share the total. */
   full_speed_count: z.coerce.number().int().positive().default(4),
-  /** Speed of one transfer at full speed. */
+  /** Full speed of one transfer. */
   transfer_mb_per_second: z.coerce.number().positive().default(20_000)
 })
 
--- a/packages/standin/src/weights/startWeights.test.ts
+++ b/packages/standin/src/weights/startWeights.test.ts
@@ -3,14 +3,14 @@
 import { expect } from 'chai'
 
 import { startForTest } from '../testing/startForTest.js'
-import { transferSpeed } from './transferSpeed.js'
+import { relativeTransferSpeed } from './relativeTransferSpeed.js'
 
 describe('weight store stand-in', () => {
-  it('shares its speed beyond the full-speed count', () => {
-    expect([1, 4, 8].map(count => transferSpeed(count, 4))).to.deep.equal([1, 1, 0.5])
+  it('divides its speed among transfers beyond the full-speed count', () => {
+    expect([1, 4, 8].map(count => relativeTransferSpeed(count, 4))).to.deep.equal([1, 1, 0.5])
   })
 
-  it('refuses fetches over its rate with a time to come back', async () => {
+  it('refuses fetches over its rate limit with a retry time', async () => {
     const standin = await startForTest({ kind: 'weights', loads_per_second: 2 })
     const store = createClient(WeightStore, standin.transport)
     const hints = await Promise.all(Array.from({ length: 4 }, async (_, index) =>
--- a/packages/standin/src/weights/startWeights.ts
+++ b/packages/standin/src/weights/startWeights.ts
@@ -3,29 +3,29 @@
 import { WeightStore } from '@figmount/schema'
 import * as z from 'zod'
 
-import { createGate, gateCommand } from '../control/createGate.js'
+import { createFaultInjector, faultCommand } from '../control/createFaultInjector.js'
 import { createTokenBucket } from '../control/createTokenBucket.js'
 import { handleControl } from '../control/handleControl.js'
 import { StandinEvent } from '../events.js'
-import { transferSpeed } from './transferSpeed.js'
+import { relativeTransferSpeed } from './relativeTransferSpeed.js'
 
 import type { FetchRequest } from '@figmount/schema'
 import type { StartedStandin } from '../control/types.js'
 import type { StandinContext } from '../settings/types.js'
 import type { WeightsSettings } from './settings.js'
 
-/** Transfers advance in steps of this length, at the speed of the moment. */
+/** Transfers advance in steps of this length, each at the speed at that time. */
 const STEP_MS = 20
 
-const command = z.discriminatedUnion('action', [
-  ...gateCommand.options,
+const commandSchema = z.discriminatedUnion('action', [
+  ...faultCommand.options,
   z.strictObject({ action: z.literal('speed'), factor: z.number().positive() })
 ])
 
 /** Starts the stand-in for the weight store. */
 export const startWeights = async (context: StandinContext<WeightsSettings>): Promise<StartedStandin> => {
   const { settings, timers, events, metrics } = context
-  const gate = createGate(timers)
+  const faultInjector = createFaultInjector(timers)
   const bucket = createTokenBucket(timers, settings.loads_per_second, Math.max(1, settings.loads_per_second))
   let activeCount = 0
   let maxActiveCount = 0
@@ -34,17 +34,17 @@
   let speedFactor = 1
 
   const transfer = async (sizeMb: number): Promise<void> => {
-    let leftMb = sizeMb
-    while (leftMb > 0) {
+    let remainingMb = sizeMb
+    while (remainingMb > 0) {
       await sleep(timers, STEP_MS)
-      await gate.pass()
-      const speed = transferSpeed(activeCount, settings.full_speed_count) * speedFactor
-      leftMb -= settings.transfer_mb_per_second * speed * STEP_MS / 1000
+      await faultInjector.applyFaults()
+      const speed = relativeTransferSpeed(activeCount, settings.full_speed_count) * speedFactor
+      remainingMb -= settings.transfer_mb_per_second * speed * STEP_MS / 1000
     }
   }
 
   const fetch = async (request: FetchRequest): Promise<{ transferMs: number }> => {
-    await gate.pass()
+    await faultInjector.applyFaults()
     const retryAfterMs = bucket.take()
     if (retryAfterMs > 0) {
       refusedCount += 1
@@ -66,15 +66,15 @@
     return { transferMs }
   }
 
-  const run = (given: unknown): unknown => {
-    const asked = command.parse(given)
-    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(asked) })
-    if (asked.action === 'speed') speedFactor = asked.factor
-    else gate.run(asked)
+  const run = (input: unknown): unknown => {
+    const command = commandSchema.parse(input)
+    events.emit(StandinEvent.controlChanged, { detail: JSON.stringify(command) })
+    if (command.action === 'speed') speedFactor = command.factor
+    else faultInjector.run(command)
     return {}
   }
 
-  const dump = (): unknown => ({ gate: gate.state(), activeCount, maxActiveCount, fetchCount, refusedCount, speedFactor })
+  const dump = (): unknown => ({ gate: faultInjector.state(), activeCount, maxActiveCount, fetchCount, refusedCount, speedFactor })
 
   const server = await serveRpc({
     host: context.host,
