--- a/packages/base/src/binary/readArguments.test.ts
+++ b/packages/base/src/binary/readArguments.test.ts
@@ -5,13 +5,13 @@
 const read = (line: string) => readPlainArguments(line.split(' '))
 
 describe('a daemon\'s command line', () => {
-  it('is read without its library when it is plain', () => {
+  it('is parsed without yargs if it only has known options', () => {
     expect(read('--settings /a.ini --event-lines --event-lines-per-s 200'))
       .to.deep.equal({ settings: '/a.ini', check: false, eventLines: true, eventLinesPerS: 200 })
     expect(read('--check --settings a')).to.deep.equal({ settings: 'a', check: true, eventLines: false, eventLinesPerS: 0 })
   })
 
-  it('is left to its library when anything else stands there', () => {
+  it('is left to yargs otherwise', () => {
     const lines = ['--help', '--check', '--settings', '--settings --check', '--settings=a', '--settings a b', '--settings a --event-lines-per-s x', '--settings a --no-check']
     expect(lines.map(read)).to.deep.equal(lines.map(() => undefined))
   })
--- a/packages/base/src/binary/readArguments.ts
+++ b/packages/base/src/binary/readArguments.ts
@@ -1,7 +1,7 @@
 import { ExitCode } from './types.js'
 import { VERSION } from './version.js'
 
-/** What a daemon is started with. */
+/** Command-line options of a daemon. */
 export interface Arguments {
   readonly settings: string
   readonly check: boolean
@@ -9,36 +9,36 @@
   readonly eventLinesPerS: number
 }
 
-const NONE: Arguments = { settings: '', check: false, eventLines: false, eventLinesPerS: 0 }
+const DEFAULTS: Arguments = { settings: '', check: false, eventLines: false, eventLinesPerS: 0 }
 
 /**
- * Reads a command line that only has known options, each as `--name` or `--name VALUE`; undefined for any other one.
+ * Parses a command line that consists only of known options, each as `--name` or `--name VALUE`; otherwise returns undefined.
  *
- * Daemons are started so, many at a time after a loss of power: the command line's library takes a tenth of a start.
+ * Daemons are normally started this way, and many at once after a power failure: loading yargs takes a tenth of the startup time.
  */
-export const readPlainArguments = (words: readonly string[]): Arguments | undefined => {
-  let read = NONE
-  for (let index = 0; index < words.length; index++) {
-    const [word, value] = [words[index], words[index + 1]]
-    if (word === '--check') read = { ...read, check: true }
-    else if (word === '--event-lines') read = { ...read, eventLines: true }
+export const readPlainArguments = (args: readonly string[]): Arguments | undefined => {
+  let parsed = DEFAULTS
+  for (let index = 0; index < args.length; index++) {
+    const [option, value] = [args[index], args[index + 1]]
+    if (option === '--check') parsed = { ...parsed, check: true }
+    else if (option === '--event-lines') parsed = { ...parsed, eventLines: true }
     else if (value === undefined || value.startsWith('-')) return undefined
-    else if (word === '--settings') read = { ...read, settings: words[++index] ?? '' }
-    else if (word === '--event-lines-per-s' && /^\d+$/.test(value)) read = { ...read, eventLinesPerS: Number(words[++index]) }
+    else if (option === '--settings') parsed = { ...parsed, settings: args[++index] ?? '' }
+    else if (option === '--event-lines-per-s' && /^\d+$/.test(value)) parsed = { ...parsed, eventLinesPerS: Number(args[++index]) }
     else return undefined
   }
-  return read.settings === '' ? undefined : read
+  return parsed.settings === '' ? undefined : parsed
 }
 
-const readByLibrary = async (name: string, summary: string, words: readonly string[]): Promise<Arguments> => {
+const readWithYargs = async (name: string, summary: string, args: readonly string[]): Promise<Arguments> => {
   const { default: yargs } = await import('yargs')
-  const parsed = await yargs(words)
+  const parsed = await yargs(args)
     .scriptName(name)
     .usage(`$0 --settings FILE\n\n${summary}`)
     .option('settings', { type: 'string', demandOption: true, describe: 'INI file with the settings' })
     .option('check', { type: 'boolean', default: false, describe: 'check the settings and exit' })
-    .option('event-lines', { type: 'boolean', default: false, describe: 'write events to standard output, one JSON object a line' })
-    .option('event-lines-per-s', { type: 'number', default: 0, describe: 'most event lines a second; the rest is left out and counted; 0 writes all' })
+    .option('event-lines', { type: 'boolean', default: false, describe: 'write events to standard output, one JSON object per line' })
+    .option('event-lines-per-s', { type: 'number', default: 0, describe: 'maximum event lines per second; lines beyond it are dropped and counted; 0 for no limit' })
     .version(VERSION)
     .strict()
     .fail((message, error) => {
@@ -49,6 +49,6 @@
   return { settings: parsed.settings, check: parsed.check, eventLines: parsed.eventLines, eventLinesPerS: parsed.eventLinesPerS }
 }
 
-/** Reads a daemon's command line; prints help, version or what is wrong with it and ends the process. */
-export const readArguments = async (name: string, summary: string, words: readonly string[]): Promise<Arguments> =>
-  readPlainArguments(words) ?? await readByLibrary(name, summary, words)
+/** Parses a daemon's command line. For help, version and errors it prints the text and exits the process. */
+export const readArguments = async (name: string, summary: string, args: readonly string[]): Promise<Arguments> =>
+  readPlainArguments(args) ?? await readWithYargs(name, summary, args)
--- a/packages/base/src/binary/runBinary.ts
+++ b/packages/base/src/binary/runBinary.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Guards against a second signal during a stop, as tools send that signal a process and its group: with no listener left
- * it would end the process at once, and open requests would lose their connections. The listeners stay.
+ * Waits for SIGTERM or SIGINT. The listeners stay registered: tools send the signal to a process and to its group, and
+ * a second signal with no listener would end the process at once and drop the connections of open requests.
  */
 const waitForStop = async (): Promise<void> => await new Promise(resolve => {
   process.on('SIGTERM', () => resolve())
@@ -34,10 +34,10 @@
 })
 
 /**
- * Guards against a log whose reader has gone, as when a service manager stops both: a line that meets a closed pipe is an
- * error that ends the process at once, and open requests would lose their connections. The process goes on without a log.
+ * Counts errors of standard output and standard error instead of letting them end the process. Writing a log line to a
+ * closed pipe, as when a service manager stops the log reader too, would otherwise drop the connections of open requests.
  */
-const outliveLogReader = (metrics: Metrics): void => {
+const countOutputErrors = (metrics: Metrics): void => {
   for (const output of [process.stdout, process.stderr]) output.on('error', () => metrics.count('event_lines_lost_total'))
 }
 
@@ -46,16 +46,16 @@
   process.exit(code)
 }
 
-const lineWriterFor = (linesPerS: number, timers: TimerService, metrics: Metrics): (line: string) => void => {
+const createEventLineWriter = (linesPerS: number, timers: TimerService, metrics: Metrics): (line: string) => void => {
   if (linesPerS === 0) return line => { process.stdout.write(`${line}\n`) }
   const writer = createLineWriter(process.stdout, timers, linesPerS)
-  metrics.gauge('event_lines_left_out_total', writer.leftOutCount)
+  metrics.gauge('event_lines_left_out_total', writer.droppedCount)
   return writer.write
 }
 
 /**
- * Takes in a settings file that has changed. Settings that do not hold are reported and the ones in force stay; a
- * process that ended here would take its open requests with it.
+ * Loads a changed settings file. Invalid settings are reported and the current ones stay in force: exiting would abort
+ * open requests.
  */
 const reload = <Settings>(options: Options<Settings>, file: string, events: EventLog, running: RunningProcess<Settings>): void => {
   loadSettings(options.schema, file).caseOf({
@@ -69,7 +69,7 @@
   })
 }
 
-/** Runs a daemon from its command line: settings, events, start, and a graceful stop on SIGTERM. */
+/** Runs a daemon from its command line: loads the settings, starts it, and stops it gracefully on SIGTERM or SIGINT. */
 export const runBinary = async <Settings>(options: Options<Settings>): Promise<void> => {
   const args = await readArguments(options.name, options.summary, process.argv.slice(2))
   const loaded = loadSettings(options.schema, args.settings)
@@ -84,12 +84,12 @@
   }
   const timers = createTimerService()
   const metrics = createMetrics()
-  outliveLogReader(metrics)
+  countOutputErrors(metrics)
   const instance = options.instanceOf(settings) as InstanceName
-  const writeLine = args.eventLines ? lineWriterFor(args.eventLinesPerS, timers, metrics) : undefined
+  const writeLine = args.eventLines ? createEventLineWriter(args.eventLinesPerS, timers, metrics) : undefined
   const events = createEventLog({ instance, role: options.role, timers, ...(writeLine ? { writeLine } : {}) })
   try {
-    // Before the start: a hang-up signal that comes early would end the process.
+    // Registered before the start: without a listener, an early SIGHUP would end the process.
     let reloadSettings = (): void => {}
     process.on('SIGHUP', () => reloadSettings())
     const running = await options.start({ settings, events, timers, metrics })
@@ -101,7 +101,7 @@
     events.emit(BaseEvent.processStopped)
     process.exit(ExitCode.Ok)
   } catch (error) {
-    const refusedListen = (error as NodeJS.ErrnoException).syscall === 'listen'
-    exitWith(refusedListen ? ExitCode.Listen : ExitCode.Failed, `${options.name}: ${(error as Error).message}`)
+    const isListenError = (error as NodeJS.ErrnoException).syscall === 'listen'
+    exitWith(isListenError ? ExitCode.Listen : ExitCode.Failed, `${options.name}: ${(error as Error).message}`)
   }
 }
--- a/packages/base/src/binary/types.ts
+++ b/packages/base/src/binary/types.ts
@@ -6,25 +6,25 @@
 export const ExitCode = {
   Ok: 0,
   Failed: 1,
-  /** Wrong command line. */
+  /** Invalid command line. */
   Usage: 2,
-  /** Wrong settings. */
+  /** Invalid settings. */
   Settings: 3,
-  /** An address could not be listened on. */
+  /** Listening on an address failed. */
   Listen: 4
 } as const
 
-/** A started process. */
+/** A running daemon, as returned by its start function. */
 export interface RunningProcess<Settings = unknown> {
-  /** host:port it listens on, printed with the event `processStarted`. */
+  /** host:port on which it listens, reported in the event `processStarted`. */
   readonly address: string
-  /** Drains and stops; resolves when nothing is left. */
+  /** Drains and stops the daemon; resolves when all work has ended. */
   readonly stop: () => Promise<void>
-  /** Takes over changed settings as far as that is possible while it runs. */
+  /** Applies changed settings, as far as they can change at run time. */
   readonly reload?: (settings: Settings) => void
 }
 
-/** What a binary's start function is given. */
+/** Arguments of a daemon's start function. */
 export interface ProcessContext<Settings> {
   readonly settings: Settings
   readonly events: EventLog
--- a/packages/base/src/binary/version.ts
+++ b/packages/base/src/binary/version.ts
@@ -1,2 +1,2 @@
-/** Version that every binary reports. */
+/** Version reported by every binary. */
 export const VERSION = '0.1.0'
--- a/packages/base/src/errors/makeFault.ts
+++ b/packages/base/src/errors/makeFault.ts
@@ -4,7 +4,7 @@
 
 import type { Fault } from './types.js'
 
-/** Makes a fault; `peer` is empty where no other party took part. */
+/** Creates a fault; `peer` is empty if no other party was involved. */
 export const makeFault = (kind: FaultKind, step: string, peer: string, message: string): Fault =>
   ({ kind, step, peer, message })
 
@@ -22,7 +22,7 @@
   [Code.Canceled]: FaultKind.Timeout
 }
 
-/** Turns whatever a library threw into a fault of the given step and peer. */
+/** Converts an exception thrown by a library into a fault with the given step and peer. */
 export const faultFrom = (step: string, peer: string) => (thrown: unknown): Fault => {
   if (thrown instanceof ConnectError) {
     const kind = KIND_BY_CODE[thrown.code] ?? FaultKind.Unavailable
@@ -32,6 +32,6 @@
   return makeFault(FaultKind.Unavailable, step, peer, message)
 }
 
-/** One line for logs and people. */
+/** Formats a fault as one line for logs and error messages. */
 export const describeFault = (fault: Fault): string =>
   `${fault.step}${fault.peer ? ` with ${fault.peer}` : ''}: ${fault.message} (${fault.kind})`
--- a/packages/base/src/errors/types.ts
+++ b/packages/base/src/errors/types.ts
@@ -1,4 +1,4 @@
-/** What kind of failure a fault is; callers decide by it whether to retry. */
+/** Category of a failure. The code that receives a fault decides by it whether to retry. */
 export const FaultKind = {
   Invalid: 'invalid',
   Unauthenticated: 'unauthenticated',
@@ -12,12 +12,12 @@
 
 export type FaultKind = typeof FaultKind[keyof typeof FaultKind]
 
-/** A failure as a value. It carries the step and the peer at which it arose. */
+/** A failure returned as a value, with the step and the peer at which it occurred. */
 export interface Fault {
   readonly kind: FaultKind
-  /** What was being done, as `slice.action`. */
+  /** The operation that failed, as `slice.action`. */
   readonly step: string
-  /** Whom it was done with: an instance, an address or a file. */
+  /** The other party of the operation: an instance, an address or a file. */
   readonly peer: string
   readonly message: string
 }
--- a/packages/base/src/events/constants.ts
+++ b/packages/base/src/events/constants.ts
@@ -1,7 +1,7 @@
-/** Events that a process remembers for `explain` and `events`: about 1 MB at 250 bytes each. */
+/** Number of recent events that a process keeps in memory for `explain` and `events`: about 1 MB at 250 bytes each. */
 export const RECENT_EVENT_COUNT = 4000
 
-/** First number of each package's range in the catalogue. */
+/** First event number of each package's range. */
 export const EventRange = {
   base: 1000,
   router: 2000,
--- a/packages/base/src/events/createEventLog.ts
+++ b/packages/base/src/events/createEventLog.ts
@@ -10,20 +10,20 @@
   readonly instance: InstanceName
   readonly role: string
   readonly timers: TimerService
-  /** Receives each event as one JSON line, or is left out for `debug` output only. */
+  /** Receives each event as one line of JSON. If omitted, events are only written to `debug`. */
   readonly writeLine?: (line: string) => void
 }
 
-/** Makes the event log of one process. */
+/** Creates the event log of one process. */
 export const createEventLog = ({ instance, role, timers, writeLine }: Options): EventLog => {
   const debug = createDebug(`figmount:${role}`)
   const listeners = new Set<(event: EventRecord) => void>()
-  const ring: EventRecord[] = []
+  const recentEvents: EventRecord[] = []
   let sequence = 0
   let clock = 0
 
-  const remember = (event: EventRecord): void => {
-    ring[event.sequence % RECENT_EVENT_COUNT] = event
+  const store = (event: EventRecord): void => {
+    recentEvents[event.sequence % RECENT_EVENT_COUNT] = event
   }
 
   return {
@@ -33,14 +33,14 @@
         number: kind.number, name: kind.name, instance, role, sequence, clock, atUnixMs: timers.unixMs(), ...fields
       }
       sequence += 1
-      remember(event)
+      store(event)
       writeLine?.(JSON.stringify(event))
       if (debug.enabled) debug('%d %s %o', kind.number, kind.name, fields)
       for (const listen of listeners) listen(event)
     },
     tick: () => ++clock,
     witness: seen => { clock = Math.max(clock, seen) + 1 },
-    recent: () => [...ring].sort((a, b) => a.sequence - b.sequence),
+    recent: () => [...recentEvents].sort((a, b) => a.sequence - b.sequence),
     subscribe: listen => {
       listeners.add(listen)
       return () => { listeners.delete(listen) }
--- a/packages/base/src/events/types.ts
+++ b/packages/base/src/events/types.ts
@@ -1,17 +1,17 @@
 import type { InstanceName } from '../ids/types.js'
 
-/** One kind of event. Numbers are unique over all binaries and never reused. */
+/** A kind of event. Numbers are unique across all binaries and never reused. */
 export interface EventKind {
   readonly number: number
   readonly name: string
-  /** What happened, one line, for docs/EVENTS.md. */
+  /** One-line description for docs/EVENTS.md. */
   readonly text: string
 }
 
-/** Everything an event may carry. Units are in the names. */
+/** All optional fields of an event; names end in the unit. */
 export interface EventFields {
   readonly caller?: string
-  /** Name of the organisation that holds the caller's key. */
+  /** Organisation that owns the caller's key. */
   readonly organisation?: string
   readonly requestKey?: string
   readonly attemptId?: string
@@ -33,7 +33,7 @@
   readonly durationMs?: number
   readonly waitMs?: number
   readonly retryAfterMs?: number
-  /** Age of the knowledge that decided. */
+  /** Age of the information on which a decision was based. */
   readonly ageMs?: number
   readonly statusCode?: number
   readonly memoryMb?: number
@@ -42,27 +42,27 @@
   readonly maxReplicas?: number
 }
 
-/** One event as it is written, one JSON object a line. */
+/** An event as it is written: one JSON object per line. */
 export interface EventRecord extends EventFields {
   readonly number: number
   readonly name: string
   readonly instance: InstanceName
   readonly role: string
-  /** Counts from 0 within one process; a gap shows a lost line. */
+  /** Sequence number within one process, from 0; a gap means that a line was lost. */
   readonly sequence: number
-  /** Lamport clock: an event that another one caused has the greater value. */
+  /** Lamport clock: greater than that of any event which caused this one. */
   readonly clock: number
   readonly atUnixMs: number
 }
 
-/** Where the parts of a process report what happens. */
+/** Log to which all parts of a process emit their events. */
 export interface EventLog {
   readonly emit: (kind: EventKind, fields?: EventFields) => void
-  /** The Lamport clock to send along with a message. */
+  /** Advances the Lamport clock and returns the value to send with a message. */
   readonly tick: () => number
-  /** Takes in the Lamport clock that came with a message. */
+  /** Advances the Lamport clock past the value received with a message. */
   readonly witness: (clock: number) => void
-  /** The most recent events, oldest first. */
+  /** Returns the most recent events, oldest first. */
   readonly recent: () => readonly EventRecord[]
   readonly subscribe: (listen: (event: EventRecord) => void) => () => void
 }
--- a/packages/base/src/hashing/rendezvous.ts
+++ b/packages/base/src/hashing/rendezvous.ts
@@ -2,10 +2,10 @@
 
 const { h64 } = await createXxhash()
 
-/** 64-bit hash of a text, the same in every process. */
+/** 64-bit xxHash of a text; equal in every process. */
 export const hash64 = (text: string): bigint => h64(text)
 
-/** Names ordered by their rendezvous weight for `key`, best first; ties by name. */
+/** Sorts names by rendezvous hash weight for `key`, highest first; ties are broken by name. */
 export const rankByRendezvous = <N extends string>(key: string, names: readonly N[]): readonly N[] => {
   const weighted = names.map(name => ({ name, weight: hash64(`${key}\u0000${name}`) }))
   return weighted
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package builds on: ids, faults, time, events, settings, metrics, hashing, RPC, trust. */
+/** Shared foundations of all packages: ids, faults, timers, events, settings, metrics, hashing, RPC, key proofs and process startup. */
 export type * from './ids/types.js'
 export { makeAttemptId, makeIncarnation, makeModelId } from './ids/makeIncarnation.js'
 export { FaultKind } from './errors/types.js'
--- a/packages/base/src/logs/createLineWriter.ts
+++ b/packages/base/src/logs/createLineWriter.ts
@@ -1,51 +1,51 @@
 import type { TimerService } from '../timers/types.js'
 
-/** A quiet time saves up lines for a burst of this length. */
-const SAVED_S = 5
+/** Largest burst, in seconds of the permitted rate. */
+const MAX_BURST_S = 5
 
-/** Bytes that may wait for a reader of standard output; a reader that has stopped must not fill the memory. */
+/** Limit for output that the reader of standard output has not consumed yet, so that a stalled reader cannot exhaust memory. */
 const MAX_BUFFERED_BYTES = 512 * 1024
 
 const MS_PER_S = 1_000
 
-/** The part of a writable stream that the writer uses. */
+/** The subset of a writable stream that the writer uses. */
 export interface LineSink {
   readonly write: (text: string) => unknown
   readonly writableLength: number
 }
 
-/** Writes lines within a bound and counts what it leaves out. */
+/** Writes lines at a limited rate and counts the lines it drops. */
 export interface LineWriter {
   readonly write: (line: string) => void
-  readonly leftOutCount: () => number
+  readonly droppedCount: () => number
 }
 
 /**
- * Writes log lines without ever waiting for their reader. Under a burst, or when nobody reads, lines are left out and
- * counted, so that logging takes neither the processor time nor the memory that requests need.
+ * Creates a writer that limits log lines with a token bucket and never waits for the reader. During a burst or with a
+ * stalled reader it drops and counts lines, so that logging does not take CPU time and memory from requests.
  */
 export const createLineWriter = (sink: LineSink, timers: TimerService, linesPerS: number): LineWriter => {
-  const maxSaved = linesPerS * SAVED_S
-  let saved = maxSaved
-  let asOfMs = timers.nowMs()
-  let leftOut = 0
+  const maxTokens = linesPerS * MAX_BURST_S
+  let tokens = maxTokens
+  let refilledAtMs = timers.nowMs()
+  let dropped = 0
 
   const refill = (): void => {
     const nowMs = timers.nowMs()
-    saved = Math.min(maxSaved, saved + (nowMs - asOfMs) * linesPerS / MS_PER_S)
-    asOfMs = nowMs
+    tokens = Math.min(maxTokens, tokens + (nowMs - refilledAtMs) * linesPerS / MS_PER_S)
+    refilledAtMs = nowMs
   }
 
   return {
     write: line => {
       refill()
-      if (saved < 1 || sink.writableLength > MAX_BUFFERED_BYTES) {
-        leftOut += 1
+      if (tokens < 1 || sink.writableLength > MAX_BUFFERED_BYTES) {
+        dropped += 1
         return
       }
-      saved -= 1
+      tokens -= 1
       sink.write(`${line}\n`)
     },
-    leftOutCount: () => leftOut
+    droppedCount: () => dropped
   }
 }
--- a/packages/base/src/metrics/createMetrics.test.ts
+++ b/packages/base/src/metrics/createMetrics.test.ts
@@ -5,8 +5,8 @@
 const sleep = async (durationMs: number): Promise<void> => await new Promise(resolve => { setTimeout(resolve, durationMs) })
 
 describe('metrics', () => {
-  it('count every time, also before the histograms are there', async () => {
-    // Guards against times that are lost, or that end the process, at its first request.
+  it('count every duration, including those observed before the histogram module is loaded', async () => {
+    // Guards against durations of a process's first requests that are lost or crash the process.
     const metrics = createMetrics()
     for (const valueMs of [1, 2, 3]) metrics.observeMs('request_ms', valueMs)
     for (let tries = 0; tries < 100 && metrics.lines().length === 0; tries++) await sleep(10)
--- a/packages/base/src/metrics/createMetrics.ts
+++ b/packages/base/src/metrics/createMetrics.ts
@@ -1,13 +1,13 @@
 import type { Histogram } from 'hdr-histogram-js'
 import type { Metrics, MetricSample } from './types.js'
 
-interface EarlyValue {
+interface PendingValue {
   readonly name: string
   readonly valueUs: number
 }
 
 const MICROSECONDS_PER_MS = 1000
-const HIGHEST_US = 3_600_000_000
+const MAX_US = 3_600_000_000
 const QUANTILES = [50, 90, 99, 99.9] as const
 
 const histogramSamples = (name: string, histogram: Histogram): readonly MetricSample[] => {
@@ -18,34 +18,34 @@
   return [...quantiles, { name: `${name}_count`, value: histogram.totalCount }]
 }
 
-/** Makes the metrics of one process. */
+/** Creates the metrics of one process. */
 export const createMetrics = (): Metrics => {
   const counters = new Map<string, number>()
   const gauges = new Map<string, () => number>()
   const histograms = new Map<string, Histogram>()
 
-  /** Values that came while the histograms' module was being imported. */
-  let early: EarlyValue[] | undefined
-  let make: (() => Histogram) | undefined
+  /** Values observed while the histogram module is being imported. */
+  let pending: PendingValue[] | undefined
+  let createHistogram: (() => Histogram) | undefined
 
-  const record = (makeHistogram: () => Histogram, { name, valueUs }: EarlyValue): void => {
+  const record = (makeHistogram: () => Histogram, { name, valueUs }: PendingValue): void => {
     const histogram = histograms.get(name) ?? makeHistogram()
     histograms.set(name, histogram)
     histogram.recordValue(valueUs)
   }
 
-  const recordLater = (value: EarlyValue): void => {
-    if (early) {
-      early.push(value)
+  const recordLater = (value: PendingValue): void => {
+    if (pending) {
+      pending.push(value)
       return
     }
-    const waiting = [value]
-    early = waiting
+    const buffered = [value]
+    pending = buffered
     import('./makeHistogram.js').then(({ makeHistogram }) => {
-      make = makeHistogram
-      early = undefined
-      for (const known of waiting) record(makeHistogram, known)
-    }, (error: Error) => { process.stderr.write(`no histograms: ${error.message}\n`) })
+      createHistogram = makeHistogram
+      pending = undefined
+      for (const item of buffered) record(makeHistogram, item)
+    }, (error: Error) => { process.stderr.write(`cannot load the histogram module: ${error.message}\n`) })
   }
 
   const lines = (): readonly MetricSample[] => [
@@ -58,8 +58,8 @@
     count: (name, by = 1) => { counters.set(name, (counters.get(name) ?? 0) + by) },
     gauge: (name, read) => { gauges.set(name, read) },
     observeMs: (name, valueMs) => {
-      const us = Math.min(HIGHEST_US, Math.max(0, Math.round(valueMs * MICROSECONDS_PER_MS)))
-      if (make) record(make, { name, valueUs: us })
+      const us = Math.min(MAX_US, Math.max(0, Math.round(valueMs * MICROSECONDS_PER_MS)))
+      if (createHistogram) record(createHistogram, { name, valueUs: us })
       else recordLater({ name, valueUs: us })
     },
     lines,
--- a/packages/base/src/metrics/makeHistogram.ts
+++ b/packages/base/src/metrics/makeHistogram.ts
@@ -2,9 +2,9 @@
 
 import type { Histogram } from 'hdr-histogram-js'
 
-const HIGHEST_US = 3_600_000_000
+const MAX_US = 3_600_000_000
 const SIGNIFICANT_DIGITS = 2
 
-/** Makes a histogram of times in µs. Imported when the first time is observed: the library costs a tenth of a process's start. */
+/** Creates a histogram of durations in µs. Imported on first use: loading the library takes a tenth of a process's startup time. */
 export const makeHistogram = (): Histogram =>
-  build({ highestTrackableValue: HIGHEST_US, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
+  build({ highestTrackableValue: MAX_US, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
--- a/packages/base/src/metrics/serveMetrics.ts
+++ b/packages/base/src/metrics/serveMetrics.ts
@@ -4,7 +4,7 @@
 
 const CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 
-/** Serves a process's metrics as text at `host:port`, whatever the path. Resolves to a function that ends it. */
+/** Serves a process's metrics as text at `host:port` on any path. Resolves to a function that closes the server. */
 export const serveMetrics = async (address: string, metrics: Metrics): Promise<() => void> => {
   const [host = '', port = ''] = address.split(':')
   const server = createServer((_message, response) => {
--- a/packages/base/src/metrics/types.ts
+++ b/packages/base/src/metrics/types.ts
@@ -1,11 +1,11 @@
-/** Counters, gauges and histograms of one process, shown at `/metrics`. */
+/** Counters, gauges and histograms of one process, served at `/metrics`. */
 export interface Metrics {
   readonly count: (name: string, by?: number) => void
   readonly gauge: (name: string, read: () => number) => void
-  /** Records a duration in a histogram; the name ends in `_ms`. */
+  /** Records a duration in a histogram whose name ends in `_ms`. */
   readonly observeMs: (name: string, valueMs: number) => void
   readonly lines: () => readonly MetricSample[]
-  /** The usual text form. */
+  /** Renders all samples in the Prometheus text format. */
   readonly text: () => string
 }
 
--- a/packages/base/src/rpc/createTransport.ts
+++ b/packages/base/src/rpc/createTransport.ts
@@ -9,8 +9,8 @@
   /** Sent as `authorization: Bearer`. */
   readonly bearerKey?: string
   /**
-   * Pool of connections. Node's shared pool is used if left out; whoever must get away from a
-   * connection that went silent gives a pool of its own and destroys it.
+   * Connection pool; Node's global pool if omitted. To abandon an unresponsive connection, pass a separate pool and
+   * destroy it.
    */
   readonly agent?: Agent
 }
@@ -20,7 +20,7 @@
   return await next(request)
 }
 
-/** A Connect transport over HTTP/1.1 to one address. Make one for each peer and keep it. */
+/** Creates a Connect transport over HTTP/1.1 to one address. Create one per peer and reuse it. */
 export const createTransport = ({ address, bearerKey, agent }: Options): Transport =>
   createConnectTransport({
     baseUrl: `http://${address}`,
--- a/packages/base/src/rpc/serveRpc.ts
+++ b/packages/base/src/rpc/serveRpc.ts
@@ -8,45 +8,45 @@
 
 interface Options {
   readonly host: string
-  /** 0 lets the system choose. */
+  /** 0 picks a free port. */
   readonly port: number
   readonly routes: (router: ConnectRouter) => void
   readonly metrics?: Metrics
-  /** Takes what is no RPC; returns false to let it be answered with 404. */
+  /** Handles requests that are not RPCs; returns false for a 404 response. */
   readonly handlePlain?: (request: IncomingMessage, response: ServerResponse) => boolean
-  /** False once the process leaves: `/healthz` then answers 503. Always true if left out. */
+  /** Returns false while the process shuts down, so that `/healthz` answers 503. Always healthy if omitted. */
   readonly isHealthy?: () => boolean
-  /** Largest RPC message in bytes. */
+  /** Maximum size of an RPC message in bytes. */
   readonly maxMessageBytes?: number
 }
 
 /** A listening server. */
 export interface RpcServer {
   readonly server: Server
-  /** host:port it listens on. */
+  /** host:port on which the server listens. */
   readonly address: string
   readonly close: () => Promise<void>
 }
 
 const DEFAULT_MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
-const answerText = (response: ServerResponse, status: number, text: string): void => {
+const sendText = (response: ServerResponse, status: number, text: string): void => {
   response.writeHead(status, { 'content-type': 'text/plain; charset=utf-8' })
   response.end(text)
 }
 
-/** Serves RPC, `/metrics` and `/healthz` on one port of Node's `http`. */
+/** Serves RPCs, `/metrics` and `/healthz` on one port over HTTP/1.1. */
 export const serveRpc = async (options: Options): Promise<RpcServer> => {
   const { isHealthy = () => true } = options
   const fallback = (request: IncomingMessage, response: ServerResponse): void => {
-    if (request.url === '/healthz') return isHealthy() ? answerText(response, 200, 'ok\n') : answerText(response, 503, 'leaving\n')
-    if (request.url === '/metrics' && options.metrics) return answerText(response, 200, options.metrics.text())
+    if (request.url === '/healthz') return isHealthy() ? sendText(response, 200, 'ok\n') : sendText(response, 503, 'leaving\n')
+    if (request.url === '/metrics' && options.metrics) return sendText(response, 200, options.metrics.text())
     if (options.handlePlain?.(request, response)) return
-    answerText(response, 404, 'not found\n')
+    sendText(response, 404, 'not found\n')
   }
   const handler = connectNodeAdapter({
     routes: options.routes,
-    // The adapter's type allows HTTP/2 requests too; this server is HTTP/1.1 only.
+    // The adapter's type also allows HTTP/2 requests, which this HTTP/1.1 server never receives.
     fallback: (request, response) => fallback(request as IncomingMessage, response as ServerResponse),
     readMaxBytes: options.maxMessageBytes ?? DEFAULT_MAX_MESSAGE_BYTES
   })
--- a/packages/base/src/settings/loadSettings.ts
+++ b/packages/base/src/settings/loadSettings.ts
@@ -18,7 +18,7 @@
   return value
 }
 
-const faultOf = (file: string, data: unknown) => (issue: z.core.$ZodIssue): SettingsFault => {
+const toSettingsFault = (file: string, data: unknown) => (issue: z.core.$ZodIssue): SettingsFault => {
   const unknownKey = issue.code === 'unrecognized_keys' ? issue.keys.join(', ') : undefined
   const path = issue.path.map(String)
   const found = valueAt(data, issue.path)
@@ -31,18 +31,18 @@
   }
 }
 
-/** Checks INI text against a schema; `file` only names it in faults. */
+/** Validates INI text against a schema; `file` is only used in error messages. */
 export const parseSettings = <T>(schema: z.ZodType<T>, file: string, text: string): Either<readonly SettingsFault[], T> => {
   const data: unknown = { ...parse(text) }
   const result = schema.safeParse(data)
   if (result.success) return Right(result.data)
-  return Left(result.error.issues.map(faultOf(file, data)))
+  return Left(result.error.issues.map(toSettingsFault(file, data)))
 }
 
-/** Reads and checks a settings file. All mistakes are reported, not only the first. */
+/** Reads and validates a settings file. Reports all mistakes, not only the first. */
 export const loadSettings = <T>(schema: z.ZodType<T>, file: string): Either<readonly SettingsFault[], T> =>
   readText(file).chain(text => parseSettings(schema, file, text))
 
-/** One line for people. */
+/** Formats a mistake as one line of text. */
 export const describeSettingsFault = (fault: SettingsFault): string =>
   `${fault.file}: [${fault.section}] ${fault.key}: expected ${fault.expected}, found ${fault.found}`
--- a/packages/base/src/settings/types.ts
+++ b/packages/base/src/settings/types.ts
@@ -1,4 +1,4 @@
-/** One mistake in a settings file. */
+/** A mistake in a settings file. */
 export interface SettingsFault {
   readonly file: string
   readonly section: string
--- a/packages/base/src/timers/createTimerService.ts
+++ b/packages/base/src/timers/createTimerService.ts
@@ -2,7 +2,7 @@
 
 type Fire = () => void
 
-/** One Node interval and those that are called at its ticks. */
+/** A Node interval shared by all subscribers with the same period. */
 interface SharedInterval {
   readonly timer: NodeJS.Timeout
   readonly subscribers: Set<Fire>
@@ -10,21 +10,21 @@
 
 const callAll = (subscribers: ReadonlySet<Fire>): void => {
   for (const fire of [...subscribers]) {
-    // One before it may have ended the subscription.
+    // An earlier callback of this tick may have unsubscribed this one.
     if (subscribers.has(fire)) fire()
   }
 }
 
-/** Real time. Its timers do not keep the process alive. */
+/** Creates a timer service in real time. Its timers do not keep the process alive. */
 export const createTimerService = (): TimerService => {
   const intervals = new Map<number, SharedInterval>()
 
-  const open = (periodMs: number): SharedInterval => {
+  const startInterval = (periodMs: number): SharedInterval => {
     const subscribers = new Set<Fire>()
     const timer = setInterval(() => { callAll(subscribers) }, periodMs).unref()
-    const made = { timer, subscribers }
-    intervals.set(periodMs, made)
-    return made
+    const interval = { timer, subscribers }
+    intervals.set(periodMs, interval)
+    return interval
   }
 
   return {
@@ -34,9 +34,9 @@
       const timer = setTimeout(fire, delayMs).unref()
       return () => clearTimeout(timer)
     },
-    // All with one period share its ticks: hundreds of links would wake the process hundreds of times a second.
+    // Subscribers with the same period share ticks: with separate timers, hundreds of links would wake the process hundreds of times a second.
     every: (periodMs, fire) => {
-      const interval = intervals.get(periodMs) ?? open(periodMs)
+      const interval = intervals.get(periodMs) ?? startInterval(periodMs)
       const subscriber = (): void => { fire() }
       interval.subscribers.add(subscriber)
       return () => {
--- a/packages/base/src/timers/createVirtualTimers.test.ts
+++ b/packages/base/src/timers/createVirtualTimers.test.ts
@@ -3,7 +3,7 @@
 import { createVirtualTimers } from './createVirtualTimers.js'
 
 describe('virtual timers', () => {
-  it('fire in order of time', () => {
+  it('fire in order of their due time', () => {
     const timers = createVirtualTimers()
     const fired: string[] = []
     timers.after(20, () => { fired.push('late') })
--- a/packages/base/src/timers/createVirtualTimers.ts
+++ b/packages/base/src/timers/createVirtualTimers.ts
@@ -1,22 +1,22 @@
 import type { TimerService } from './types.js'
 
-interface Pending {
+interface PendingTimer {
   readonly id: number
   readonly atMs: number
   readonly fire: () => void
 }
 
-/** Virtual time for tests and simulations of decisions. */
+/** A timer service in virtual time, for tests and simulations. */
 export interface VirtualTimers extends TimerService {
-  /** Runs everything that is due within the next `durationMs`, in order of time. */
+  /** Advances the clock by `durationMs` and runs all timers due by then, in order of their due time. */
   readonly advance: (durationMs: number) => void
 }
 
-/** Makes virtual time that starts at `startUnixMs`. */
+/** Creates virtual timers whose wall clock starts at `startUnixMs`. */
 export const createVirtualTimers = (startUnixMs = 0): VirtualTimers => {
   let currentMs = 0
   let nextId = 0
-  const pending = new Map<number, Pending>()
+  const pending = new Map<number, PendingTimer>()
 
   const schedule = (delayMs: number, fire: () => void): number => {
     const id = nextId++
@@ -24,8 +24,8 @@
     return id
   }
 
-  const earliest = (untilMs: number): Pending | undefined => {
-    let best: Pending | undefined
+  const earliest = (untilMs: number): PendingTimer | undefined => {
+    let best: PendingTimer | undefined
     for (const candidate of pending.values()) {
       if (candidate.atMs > untilMs) continue
       if (best && (best.atMs < candidate.atMs || (best.atMs === candidate.atMs && best.id < candidate.id))) continue
@@ -43,10 +43,10 @@
     },
     every: (periodMs, fire) => {
       let id = -1
-      const arm = (): void => {
-        id = schedule(periodMs, () => { arm(); fire() })
+      const scheduleNext = (): void => {
+        id = schedule(periodMs, () => { scheduleNext(); fire() })
       }
-      arm()
+      scheduleNext()
       return () => { pending.delete(id) }
     },
     advance: durationMs => {
--- a/packages/base/src/timers/sleep.ts
+++ b/packages/base/src/timers/sleep.ts
@@ -1,6 +1,6 @@
 import type { TimerService } from './types.js'
 
-/** Resolves after `delayMs`, or at once when `signal` aborts. */
+/** Resolves after `delayMs`, or as soon as `signal` is aborted. */
 export const sleep = async (timers: TimerService, delayMs: number, signal?: AbortSignal): Promise<void> =>
   await new Promise(resolve => {
     if (signal?.aborted) return resolve()
--- a/packages/base/src/trust/proveKey.test.ts
+++ b/packages/base/src/trust/proveKey.test.ts
@@ -7,7 +7,7 @@
     expect(checkProof('k', 'agent-1', makeProof('k', 'agent-1', 1000), 2000)).to.equal(true)
   })
 
-  it('is refused for another key, another instance, another time and nonsense', () => {
+  it('is refused for another key, another instance, an expired timestamp and malformed text', () => {
     const proof = makeProof('k', 'agent-1', 1000)
     expect(checkProof('other', 'agent-1', proof, 1000)).to.equal(false)
     expect(checkProof('k', 'agent-2', proof, 1000)).to.equal(false)
--- a/packages/base/src/trust/proveKey.ts
+++ b/packages/base/src/trust/proveKey.ts
@@ -1,24 +1,24 @@
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto'
 
-/** How far two processes' clocks may differ before a proof is refused. */
+/** Largest clock difference between two processes at which a proof is still accepted. */
 const PROOF_WINDOW_MS = 30_000
 
-/** Hash under which callers' and operators' keys are kept. */
+/** Hash under which the keys of callers and operators are stored. */
 export const hashKey = (key: string): string => createHash('sha256').update(key).digest('hex')
 
-const macOf = (sharedKey: string, subject: string, atMs: number): Buffer =>
+const computeMac = (sharedKey: string, subject: string, atMs: number): Buffer =>
   createHmac('sha256', sharedKey).update(`${subject}\n${atMs}`).digest()
 
-/** Proves to a peer that `subject` knows the shared key, without sending it. */
+/** Creates a proof, an HMAC over `subject` and the time, that `subject` has the shared key, without sending the key itself. */
 export const makeProof = (sharedKey: string, subject: string, nowUnixMs: number): string =>
-  `${nowUnixMs}.${macOf(sharedKey, subject, nowUnixMs).toString('hex')}`
+  `${nowUnixMs}.${computeMac(sharedKey, subject, nowUnixMs).toString('hex')}`
 
-/** Checks a proof made by `makeProof`. */
+/** Verifies a proof created by `makeProof`. */
 export const checkProof = (sharedKey: string, subject: string, proof: string, nowUnixMs: number): boolean => {
-  const [atText = '', macText = ''] = proof.split('.')
-  const atMs = Number(atText)
+  const [timestampText = '', macText = ''] = proof.split('.')
+  const atMs = Number(timestampText)
   if (!Number.isSafeInteger(atMs) || Math.abs(nowUnixMs - atMs) > PROOF_WINDOW_MS) return false
-  const expected = macOf(sharedKey, subject, atMs)
-  const given = Buffer.from(macText, 'hex')
-  return given.length === expected.length && timingSafeEqual(given, expected)
+  const expected = computeMac(sharedKey, subject, atMs)
+  const received = Buffer.from(macText, 'hex')
+  return received.length === expected.length && timingSafeEqual(received, expected)
 }
