--- a/packages/ctl/src/apply/applyChanges.ts
+++ b/packages/ctl/src/apply/applyChanges.ts
@@ -6,7 +6,7 @@
 import type { OperatorClient } from '../operatorClient/createOperatorClient.js'
 import type { ItemChange } from './diffItems.js'
 
-/** One item to set or retire, based on a version. */
+/** A write to one item, which sets or retires it if its version is still `expectedVersion`. */
 export interface ItemWrite {
   readonly name: string
   readonly bodyJson: string
@@ -14,15 +14,15 @@
   readonly retire: boolean
 }
 
-/** The write that makes a diff real. */
-export const writeOfChange = (change: ItemChange): ItemWrite => ({
+/** Converts a change from the diff to a write. */
+export const toItemWrite = (change: ItemChange): ItemWrite => ({
   name: change.draft.name,
   bodyJson: JSON.stringify(change.draft.spec),
   expectedVersion: change.expectedVersion,
   retire: false
 })
 
-/** Sends writes as one change; the change id makes a resend harmless. */
+/** Sends writes as one change; its random change id makes resends idempotent. */
 export const applyWrites = (client: OperatorClient, writes: readonly ItemWrite[]): EitherAsync<Fault, readonly ApplyOutcome[]> => {
   const changeId = randomUUID()
   const items = writes.map(write => ({ ...write, expectedVersion: BigInt(write.expectedVersion) }))
--- a/packages/ctl/src/apply/diffItems.test.ts
+++ b/packages/ctl/src/apply/diffItems.test.ts
@@ -22,7 +22,7 @@
     expect(change && renderChange(change)).to.deep.equal(['caller/a (version 3 → 4)', '  - share = 1', '  + share = 2'])
   })
 
-  it('shows all of a new and of a retired item', () => {
+  it('shows all values of a new item, also of one that was retired before', () => {
     expect(diffItems([draft(1)], [])[0]).to.deep.include({ expectedVersion: 0 })
     expect(diffItems([draft(1)], [item(1, true)])[0]?.changes).to.have.length(4)
   })
--- a/packages/ctl/src/apply/diffItems.ts
+++ b/packages/ctl/src/apply/diffItems.ts
@@ -1,17 +1,17 @@
 import type { ConfigItem } from '@figmount/schema'
 import type { ConfigDraft } from '../configFile/types.js'
 
-/** One changed value of an item; undefined where the value does not exist on that side. */
+/** A changed value of an item; undefined if the value does not exist on that side. */
 export interface ValueChange {
   readonly path: string
   readonly before: string | undefined
   readonly after: string | undefined
 }
 
-/** What applying a file would change in one item. */
+/** The changes to one item that applying a file would make. */
 export interface ItemChange {
   readonly draft: ConfigDraft
-  /** Version that the change is based on; 0 for a new item. */
+  /** Version on which the change is based; 0 for a new item. */
   readonly expectedVersion: number
   readonly changes: readonly ValueChange[]
 }
@@ -21,7 +21,7 @@
   return typeof name === 'string' ? name : String(index)
 }
 
-/** Flattens a body to `path → value`; list entries that have a name go by it, so that order does not matter. */
+/** Flattens an item's body to `path → value`. Paths contain the names of named list entries, so that their order does not matter. */
 const flatten = (value: unknown, path: string, into: Map<string, string>): Map<string, string> => {
   if (Array.isArray(value) && value.some(entry => typeof entry === 'object')) {
     for (const [index, entry] of value.entries()) flatten(entry, `${path}.${labelOf(entry, index)}`, into)
@@ -35,13 +35,13 @@
   return into
 }
 
-const valueChanges = (before: ReadonlyMap<string, string>, after: ReadonlyMap<string, string>): readonly ValueChange[] => {
+const diffValues = (before: ReadonlyMap<string, string>, after: ReadonlyMap<string, string>): readonly ValueChange[] => {
   const paths = [...new Set([...before.keys(), ...after.keys()])].sort()
   const changes: ValueChange[] = []
   for (const path of paths) {
-    const was = before.get(path)
-    const is = after.get(path)
-    if (was !== is) changes.push({ path, before: was, after: is })
+    const oldValue = before.get(path)
+    const newValue = after.get(path)
+    if (oldValue !== newValue) changes.push({ path, before: oldValue, after: newValue })
   }
   return changes
 }
@@ -49,19 +49,19 @@
 const parseBody = (item: ConfigItem | undefined): unknown =>
   item && !item.retired ? JSON.parse(item.bodyJson) : {}
 
-/** Items that a file would change, with every changed value. */
+/** Compares the items of a file with the current ones; returns those that differ, with every changed value. */
 export const diffItems = (drafts: readonly ConfigDraft[], current: readonly ConfigItem[]): readonly ItemChange[] => {
   const byName = new Map(current.map(item => [item.name, item]))
-  const changed: ItemChange[] = []
+  const itemChanges: ItemChange[] = []
   for (const draft of drafts) {
     const item = byName.get(draft.name)
-    const changes = valueChanges(flatten(parseBody(item), '', new Map()), flatten(draft.spec, '', new Map()))
-    if (changes.length > 0) changed.push({ draft, expectedVersion: Number(item?.version ?? 0n), changes })
+    const changes = diffValues(flatten(parseBody(item), '', new Map()), flatten(draft.spec, '', new Map()))
+    if (changes.length > 0) itemChanges.push({ draft, expectedVersion: Number(item?.version ?? 0n), changes })
   }
-  return changed
+  return itemChanges
 }
 
-/** The change as lines for people. */
+/** Formats a change as lines of text, in the manner of a diff. */
 export const renderChange = (change: ItemChange): readonly string[] => {
   const lines = [`${change.draft.name} (version ${change.expectedVersion} → ${change.expectedVersion + 1})`]
   for (const { path, before, after } of change.changes) {
--- a/packages/ctl/src/bin.ts
+++ b/packages/ctl/src/bin.ts
@@ -1,10 +1,10 @@
-/** Command line of operators. */
+/** Entry point of `figmountctl`, the operators' command-line tool. */
 import { createInterface } from 'node:readline/promises'
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
 import { createTimerService, describeFault, describeSettingsFault, ExitCode, loadSettings, stayAwake, VERSION } from '@figmount/base'
 
-import { explainLines } from './commands/explainLines.js'
+import { explainFromFiles } from './commands/explainFromFiles.js'
 import { runApply } from './commands/runApply.js'
 import { runGet, runHistory, runRetire, runRollBack } from './commands/runHistory.js'
 import { runDrain, runEvents, runExplain, runStatus } from './commands/runStatus.js'
@@ -26,7 +26,7 @@
 }
 
 const confirm = async (question: string): Promise<boolean> => {
-  if (!process.stdin.isTTY) return exitWith(ExitCode.Usage, 'no terminal to ask at: pass --yes')
+  if (!process.stdin.isTTY) return exitWith(ExitCode.Usage, 'standard input is not a terminal: pass --yes to apply without confirmation')
   const terminal = createInterface({ input: process.stdin, output: process.stdout })
   const answer = await terminal.question(`${question} [y/N] `)
   terminal.close()
@@ -35,7 +35,7 @@
 
 const print = (text: string): void => { process.stdout.write(`${text}\n`) }
 
-const contextOf = ({ settings, json }: CommonArguments): CommandContext => {
+const createContext = ({ settings, json }: CommonArguments): CommandContext => {
   const loaded = loadSettings(ctlSettings, settings)
   if (loaded.isLeft()) return exitWith(ExitCode.Settings, loaded.extract().map(describeSettingsFault).join('\n'))
   const { routers, operator } = loaded.unsafeCoerce()
@@ -48,57 +48,57 @@
   }
 }
 
-const finish = async (result: CommandResult): Promise<void> => {
-  const done = await result.run()
-  done.caseOf({
+const runAndExit = async (result: CommandResult): Promise<void> => {
+  const outcome = await result.run()
+  outcome.caseOf({
     Left: fault => exitWith(ExitCode.Failed, describeFault(fault)),
-    Right: complete => exitWith(complete ? ExitCode.Ok : ExitCode.Failed)
+    Right: isComplete => exitWith(isComplete ? ExitCode.Ok : ExitCode.Failed)
   })
 }
 
-// Every command ends the process itself.
+// Every command exits the process explicitly.
 stayAwake()
 
 await yargs(hideBin(process.argv))
   .scriptName('figmountctl')
   .option('settings', { type: 'string', default: 'figmountctl.ini', describe: 'INI file with the routers and the operator key' })
-  .option('json', { type: 'boolean', default: false, describe: 'print JSON for programs' })
-  .option('wait-ms', { type: 'number', default: DEFAULT_WAIT_MS, describe: 'time to wait until a change is in force everywhere' })
+  .option('json', { type: 'boolean', default: false, describe: 'print JSON' })
+  .option('wait-ms', { type: 'number', default: DEFAULT_WAIT_MS, describe: 'maximum time to wait until a change is in force everywhere' })
   .command('check', 'check the settings and exit', command => command, async args => {
-    contextOf(args)
+    createContext(args)
     exitWith(ExitCode.Ok)
   })
   .command('apply <file>', 'apply a configuration file', command => command
     .positional('file', { type: 'string', demandOption: true })
-    .option('yes', { type: 'boolean', default: false, describe: 'do not ask' })
-    .option('dry-run', { type: 'boolean', default: false, describe: 'show the difference and stop' }),
-  async args => await finish(runApply(contextOf(args), { file: args.file, yes: args.yes, dryRun: args.dryRun, waitMs: args.waitMs })))
+    .option('yes', { type: 'boolean', default: false, describe: 'apply without confirmation' })
+    .option('dry-run', { type: 'boolean', default: false, describe: 'show the changes without applying them' }),
+  async args => await runAndExit(runApply(createContext(args), { file: args.file, yes: args.yes, dryRun: args.dryRun, waitMs: args.waitMs })))
   .command('get [item]', 'show items in force', command => command.positional('item', { type: 'string', default: '' }),
-    async args => await finish(runGet(contextOf(args), args.item)))
+    async args => await runAndExit(runGet(createContext(args), args.item)))
   .command('history <item>', 'show the versions of an item', command => command.positional('item', { type: 'string', demandOption: true }),
-    async args => await finish(runHistory(contextOf(args), args.item)))
+    async args => await runAndExit(runHistory(createContext(args), args.item)))
   .command('rollback <item> <to>', 'set an item to an earlier version', command => command
     .positional('item', { type: 'string', demandOption: true })
-    .positional('to', { type: 'number', demandOption: true, describe: 'version to go back to' }),
-  async args => await finish(runRollBack(contextOf(args), args.item, args.to, args.waitMs)))
+    .positional('to', { type: 'number', demandOption: true, describe: 'version to restore' }),
+  async args => await runAndExit(runRollBack(createContext(args), args.item, args.to, args.waitMs)))
   .command('retire <item>', 'retire an item', command => command.positional('item', { type: 'string', demandOption: true }),
-    async args => await finish(runRetire(contextOf(args), args.item, args.waitMs)))
+    async args => await runAndExit(runRetire(createContext(args), args.item, args.waitMs)))
   .command('status', 'show the log, instances and replicas', command => command.option('metrics', { type: 'boolean', default: false, describe: "show the router's metrics" }),
-    async args => await finish(runStatus(contextOf(args), args.metrics)))
-  .command('drain <instance>', 'let an instance finish its work and take no more', command => command
+    async args => await runAndExit(runStatus(createContext(args), args.metrics)))
+  .command('drain <instance>', 'let an instance finish its work and accept no new work', command => command
     .positional('instance', { type: 'string', demandOption: true })
-    .option('undo', { type: 'boolean', default: false, describe: 'take the drain back' }),
-  async args => await finish(runDrain(contextOf(args), args.instance, args.undo)))
-  .command('explain <key>', 'show what became of a request, and why', command => command
+    .option('undo', { type: 'boolean', default: false, describe: 'cancel the drain' }),
+  async args => await runAndExit(runDrain(createContext(args), args.instance, args.undo)))
+  .command('explain <key>', 'show the outcome of a request and the reasons', command => command
     .positional('key', { type: 'string', demandOption: true })
     .option('caller', { type: 'string', default: '', describe: 'name of the caller' })
-    .option('lines', { type: 'string', array: true, describe: 'read event lines of any number of processes from these files, - for standard input, instead of asking routers' }),
-  async args => await finish(args.lines ? explainLines({ json: args.json, print }, args.key, args.lines) : runExplain(contextOf(args), args.key, args.caller)))
+    .option('lines', { type: 'string', array: true, describe: 'read event lines of any number of processes from these files (- for standard input) instead of querying routers' }),
+  async args => await runAndExit(args.lines ? explainFromFiles({ json: args.json, print }, args.key, args.lines) : runExplain(createContext(args), args.key, args.caller)))
   .command('events', "follow a router's events", command => command
-    .option('key', { type: 'string', default: '', describe: 'only of this request key' })
-    .option('model', { type: 'string', default: '', describe: 'only of this model' }),
-  async args => await finish(runEvents(contextOf(args), args.key, args.model)))
-  .demandCommand(1, 'a command is needed; --help lists them')
+    .option('key', { type: 'string', default: '', describe: 'only events with this request key' })
+    .option('model', { type: 'string', default: '', describe: 'only events of this model' }),
+  async args => await runAndExit(runEvents(createContext(args), args.key, args.model)))
+  .demandCommand(1, 'no command given; --help lists the commands')
   .version(VERSION)
   .strict()
   .fail((message, error) => exitWith(ExitCode.Usage, message ?? error.message))
--- a/packages/ctl/src/commands/types.ts
+++ b/packages/ctl/src/commands/types.ts
@@ -2,16 +2,16 @@
 import type { Fault, TimerService } from '@figmount/base'
 import type { OperatorClient } from '../operatorClient/createOperatorClient.js'
 
-/** What every command works with. */
+/** Dependencies and output of every command. */
 export interface CommandContext {
   readonly client: OperatorClient
   readonly timers: TimerService
-  /** Programs get JSON, people get tables. */
+  /** Prints JSON instead of tables. */
   readonly json: boolean
   readonly print: (text: string) => void
-  /** Asks the person at the terminal; false where there is none. */
+  /** Asks for confirmation at the terminal; without a terminal it exits with a usage error. */
   readonly confirm: (question: string) => Promise<boolean>
 }
 
-/** A command's end: true when all that was asked for was done. */
+/** Result of a command: true if everything requested was done. */
 export type CommandResult = EitherAsync<Fault, boolean>
--- a/packages/ctl/src/configFile/fileSchemas.ts
+++ b/packages/ctl/src/configFile/fileSchemas.ts
@@ -1,11 +1,11 @@
 import * as z from 'zod'
 
-const EMPTY = /^\s*$/
+const BLANK = /^\s*$/
 
-/** A comma-separated list as INI writes it. */
-const list = z.string().transform(text => EMPTY.test(text) ? [] : text.split(',').map(part => part.trim()))
+/** A comma-separated list. */
+const list = z.string().transform(text => BLANK.test(text) ? [] : text.split(',').map(part => part.trim()))
 
-/** `kind:number, kind:number` */
+/** Comma-separated pairs of the form `name:number`. */
 const numbersByName = z.string().transform((text, context) => {
   const numbers: Record<string, number> = {}
   for (const part of text.split(',')) {
@@ -19,7 +19,7 @@
   return numbers
 })
 
-const whole = z.string().regex(/^\d+$/, 'a whole number').transform(Number)
+const wholeNumber = z.string().regex(/^\d+$/, 'a whole number').transform(Number)
 const decimal = z.string().regex(/^\d+(\.\d+)?$/, 'a number').transform(Number)
 
 /** Keys of a `[service/<name>]` section. */
@@ -33,19 +33,19 @@
 export const modelSection = z.strictObject({
   versions: list,
   current_version: z.string('a version'),
-  min_replicas: whole.default(0),
-  max_replicas: whole.default(1),
-  memory_mb: whole,
-  checkpoint_mb: whole.optional()
+  min_replicas: wholeNumber.default(0),
+  max_replicas: wholeNumber.default(1),
+  memory_mb: wholeNumber,
+  checkpoint_mb: wholeNumber.optional()
 })
 
 /** Keys of a `[service/<name>/model/<name>/adapter/<name>]` section. */
 export const adapterSection = z.strictObject({
-  memory_mb: whole,
-  max_replicas: whole.optional()
+  memory_mb: wholeNumber,
+  max_replicas: wholeNumber.optional()
 })
 
-/** Keys of a `[caller/<name>]` section. The key itself is never written to a file. */
+/** Keys of a `[caller/<name>]` section. A file contains only the hash of the caller's key, never the key. */
 export const callerSection = z.strictObject({
   kind: z.string('a kind of caller'),
   key_sha256: z.string('64 hexadecimal digits'),
--- a/packages/ctl/src/history/renderItems.ts
+++ b/packages/ctl/src/history/renderItems.ts
@@ -2,7 +2,7 @@
 
 import type { ConfigItem } from '@figmount/schema'
 
-/** Versions of items, newest knowledge last, as a table for people. */
+/** Renders versions of items as a table, in the given order. */
 export const renderItems = (items: readonly ConfigItem[]): string =>
   renderTable(
     ['item', 'version', 'offset', 'operator', 'changed at', 'retired'],
--- a/packages/ctl/src/operatorClient/createOperatorClient.ts
+++ b/packages/ctl/src/operatorClient/createOperatorClient.ts
@@ -8,43 +8,43 @@
 
 type OperatorRpc = Client<typeof Operator>
 
-/** Calls the operators' interface at the first router that answers. */
+/** Calls the operators' RPC interface of the routers. */
 export interface OperatorClient {
   readonly call: <T>(step: string, run: (rpc: OperatorRpc) => Promise<T>) => EitherAsync<Fault, T>
-  /** Asks every router, for what each remembers only of its own; fails when none answers. */
+  /** Calls every router, for data that each has only of its own requests; fails if none responds. */
   readonly callEach: <T>(step: string, run: (rpc: OperatorRpc) => Promise<T>) => EitherAsync<Fault, readonly T[]>
 }
 
-/** Makes a client for a list of routers, each as host:port. A refusal is final; only an unreachable router is passed over. */
+/** Creates a client for routers at host:port addresses. `call` tries the next router only if one is unavailable; other faults are final. */
 export const createOperatorClient = (addresses: readonly string[], key: string): OperatorClient => {
-  const peers = addresses.map(address => ({
+  const routers = addresses.map(address => ({
     address,
     rpc: createClient(Operator, createTransport({ address, bearerKey: key }))
   }))
 
   const call = <T>(step: string, run: (rpc: OperatorRpc) => Promise<T>): EitherAsync<Fault, T> =>
     EitherAsync<Fault, T>(async ({ throwE }) => {
-      let last = makeFault(FaultKind.Invalid, step, '', 'no router address is set')
-      for (const { address, rpc } of peers) {
+      let lastFault = makeFault(FaultKind.Invalid, step, '', 'no router address is configured')
+      for (const { address, rpc } of routers) {
         try {
           return await run(rpc)
         } catch (error) {
-          last = faultFrom(step, address)(error)
-          if (last.kind !== FaultKind.Unavailable) return throwE(last)
+          lastFault = faultFrom(step, address)(error)
+          if (lastFault.kind !== FaultKind.Unavailable) return throwE(lastFault)
         }
       }
-      return throwE(last)
+      return throwE(lastFault)
     })
 
   const callEach = <T>(step: string, run: (rpc: OperatorRpc) => Promise<T>): EitherAsync<Fault, readonly T[]> =>
     EitherAsync<Fault, readonly T[]>(async ({ throwE }) => {
-      const answers: T[] = []
-      let last = makeFault(FaultKind.Invalid, step, '', 'no router address is set')
-      for (const { address, rpc } of peers) {
-        const answer = await EitherAsync(async () => await run(rpc)).mapLeft(faultFrom(step, address)).run()
-        answer.caseOf({ Left: fault => { last = fault }, Right: value => { answers.push(value) } })
+      const responses: T[] = []
+      let lastFault = makeFault(FaultKind.Invalid, step, '', 'no router address is configured')
+      for (const { address, rpc } of routers) {
+        const response = await EitherAsync(async () => await run(rpc)).mapLeft(faultFrom(step, address)).run()
+        response.caseOf({ Left: fault => { lastFault = fault }, Right: value => { responses.push(value) } })
       }
-      return answers.length > 0 ? answers : throwE(last)
+      return responses.length > 0 ? responses : throwE(lastFault)
     })
 
   return { call, callEach }
--- a/packages/ctl/src/output/renderTable.ts
+++ b/packages/ctl/src/output/renderTable.ts
@@ -1,6 +1,6 @@
 const GAP = '  '
 
-/** Renders rows under headings as aligned columns; numbers are aligned to the right. */
+/** Renders rows under headings as aligned columns; numbers are right-aligned. */
 export const renderTable = (headings: readonly string[], rows: ReadonlyArray<ReadonlyArray<string | number>>): string => {
   const widths = headings.map((heading, column) =>
     Math.max(heading.length, ...rows.map(row => String(row[column] ?? '').length)))
--- a/packages/ctl/src/settings/ctlSettings.ts
+++ b/packages/ctl/src/settings/ctlSettings.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod'
 
-/** Settings of `figmountctl`: whom to ask, and as whom. */
+/** Settings of `figmountctl`: router addresses and the operator's key. */
 export const ctlSettings = z.strictObject({
   routers: z.strictObject({
     addresses: z.string('host:port, with commas between several')
