--- a/packages/ctl/src/status/renderStatus.ts
+++ b/packages/ctl/src/status/renderStatus.ts
@@ -12,7 +12,7 @@
       instance.runningCount, instance.queuedCount, instance.memoryUsedMb, instance.memoryCapacityMb
     ]))
   const replicas = renderTable(
-    ['model', 'slot', 'instance', 'slot state', 'load', 'version', 'fence'],
+    ['model', 'slot', 'instance', 'right', 'load', 'version', 'fence'],
     status.replicas.map(replica => [
       replica.model, replica.slotIndex, replica.instance, replica.slotState, replica.loadState, replica.version, Number(replica.fence)
     ]))
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -1,10 +1,10 @@
-/** Measures figmount against stand-ins on this machine, prints one table and writes `out/bench.json`. */
+/** Benchmarks figmount against stand-ins on this machine, prints a table and writes `out/bench.json`. */
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs'
 import { createTimerService } from '@figmount/base'
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
 
-import { compareRows, missingBounds } from './bench/compareRows.js'
+import { compareRows, findMissingBounds } from './bench/compareRows.js'
 import { measureAll } from './bench/measureAll.js'
 import { renderCompared, renderRows } from './bench/renderRows.js'
 
@@ -15,11 +15,11 @@
 const readRows = (file: string): readonly BenchRow[] => (JSON.parse(readFileSync(file, 'utf8')) as BenchFile).rows
 
 const { against } = await yargs(hideBin(process.argv))
-  .option('against', { type: 'string', describe: 'file of an earlier run to compare with' })
+  .option('against', { type: 'string', describe: 'result file of an earlier run to compare with' })
   .strict()
   .parse()
 
-// Read before the run, which overwrites out/bench.json: that may be the very file to compare with.
+// Read before the run, which overwrites out/bench.json: `--against` may name that same file.
 const earlier = against === undefined ? undefined : readRows(against)
 const rows = await measureAll()
 const measured: BenchFile = { measuredAt: new Date(createTimerService().unixMs()).toISOString(), nodeVersion: process.version, rows }
@@ -29,8 +29,8 @@
 if (earlier === undefined) process.stdout.write(`${renderRows(rows)}\n`)
 else {
   const compared = compareRows(rows, earlier)
-  const missing = missingBounds(rows, earlier)
+  const missing = findMissingBounds(rows, earlier)
   process.stdout.write(`${renderCompared(compared)}\n`)
-  for (const name of missing) process.stdout.write(`MISSING ${name}: the earlier run has it\n`)
+  for (const name of missing) process.stdout.write(`MISSING ${name}: measured in the earlier run only\n`)
   process.exitCode = missing.length > 0 || compared.some(({ isBeyondBound }) => isBeyondBound) ? 1 : 0
 }
--- a/scripts/bench/createCalls.ts
+++ b/scripts/bench/createCalls.ts
@@ -23,40 +23,40 @@
 
 const sendHttp = async (address: string, { path, method, body = '' }: HttpPlan): Promise<string> => await new Promise((resolve, reject) => {
   const headers = { 'content-type': 'application/json', authorization: `Bearer ${callerKey(CALLER)}` }
-  const sent = httpRequest(`http://${address}${path}`, { method, headers }, response => {
+  const request = httpRequest(`http://${address}${path}`, { method, headers }, response => {
     let text = ''
     response.setEncoding('utf8')
     response.on('data', chunk => { text += String(chunk) })
     response.on('end', () => {
       if (response.statusCode === 200) resolve(text)
-      else reject(new Error(`${path} answered ${response.statusCode}: ${text}`))
+      else reject(new Error(`${path} returned status ${response.statusCode}: ${text}`))
     })
   })
-  sent.on('error', reject)
-  sent.end(body)
+  request.on('error', reject)
+  request.end(body)
 })
 
-const expectCount = (got: number, wanted: number, what: string): void => {
-  if (got !== wanted) throw new Error(`${what} gave ${got} tokens in place of ${wanted}`)
+const expectCount = (actual: number, expected: number, source: string): void => {
+  if (actual !== expected) throw new Error(`${source} returned ${actual} tokens, expected ${expected}`)
 }
 
-const makeFields = (maxTokens: number) => ({
+const makeRequestFields = (maxTokens: number) => ({
   requestKey: randomUUID(), deadlineMs: DEADLINE_MS, repeatable: true, service: SERVICE, model: MODEL, prompt: randomUUID(), maxTokens
 }) as const
 
-/** Ways to ask one site; each call's prompt is new. */
+/** The kinds of call to one site; every call has a new prompt. */
 export interface Calls {
-  /** The callers' stream through router and agent. */
+  /** The callers' streaming RPC, through router and agent. */
   readonly stream: (maxTokens: number) => Call
-  /** The same request as one JSON message. */
+  /** The same request with the answer as one JSON message. */
   readonly whole: (maxTokens: number) => Call
-  /** The engine's own RPC without figmount. */
+  /** The engine's own RPC, bypassing figmount. */
   readonly engine: (maxTokens: number) => Call
-  /** An HTTP request to the router without RPC. */
+  /** A plain HTTP request to the router. */
   readonly healthz: Call
 }
 
-/** Makes the calls; their clients and connections are kept. */
+/** Creates the calls; they reuse their RPC clients and connections. */
 export const createCalls = (site: Site): Calls => {
   const router = site.router('r1').address
   const inference = createClient(Inference, createTransport({ address: router, bearerKey: callerKey(CALLER) }))
@@ -64,14 +64,14 @@
   return {
     stream: maxTokens => async () => {
       let count = 0
-      for await (const { body } of inference.infer({ ...makeFields(maxTokens), issuedAtMs: BigInt(timers.unixMs()) })) {
+      for await (const { body } of inference.infer({ ...makeRequestFields(maxTokens), issuedAtMs: BigInt(timers.unixMs()) })) {
         if (body.case === 'refusal') throw new Error(`refused: ${body.value.detail}`)
         if (body.case === 'tokens') count += body.value.tokens.length
       }
       expectCount(count, maxTokens, 'the stream')
     },
     whole: maxTokens => async () => {
-      const body = JSON.stringify({ ...makeFields(maxTokens), issuedAtMs: String(timers.unixMs()) })
+      const body = JSON.stringify({ ...makeRequestFields(maxTokens), issuedAtMs: String(timers.unixMs()) })
       const answer = JSON.parse(await sendHttp(router, { path: '/figmount.v1.Inference/InferWhole', method: 'POST', body })) as { readonly final?: { readonly tokenCount: number } }
       expectCount(answer.final?.tokenCount ?? 0, maxTokens, 'InferWhole')
     },
--- a/scripts/bench/measureAll.ts
+++ b/scripts/bench/measureAll.ts
@@ -14,7 +14,7 @@
 import type { BenchRow } from './types.js'
 
 const COLD_MODELS = ['c1', 'c2', 'c3'] as const
-/** Routers of the site for agreement and recovery; one agent comes beside them. */
+/** Routers of the site for agreement and recovery, which also has one agent. */
 const ROUTERS = ['r1', 'r2'] as const
 const READY_MS = 30_000
 
@@ -44,7 +44,7 @@
 
 const timers = createTimerService()
 
-/** Says on standard error how long a measurement took, so that whoever lengthens the run sees where. */
+/** Prints the duration of a measurement to standard error, to show which one lengthens the run. */
 const timed = async (name: string, measure: () => Promise<readonly BenchRow[]>): Promise<readonly BenchRow[]> => {
   const startedMs = timers.nowMs()
   const rows = await measure()
@@ -52,10 +52,10 @@
   return rows
 }
 
-/** The path of requests at one router and one agent. */
+/** Measures the request path with one router and one agent. */
 const measurePath = async (site: Site): Promise<readonly BenchRow[]> => {
   const calls = createCalls(site)
-  // The first request loads the model; the engine's own RPC needs it resident.
+  // The first request loads the model, which must be resident for the engine's own RPC.
   await site.rig.until('the first answer', async () => await calls.stream(1)().then(() => true, () => false), READY_MS)
   const latency = await timed('latency', async () => await measureLatency(calls))
   const rpc = await timed('rpc', async () => await measureRpc(calls))
@@ -63,14 +63,14 @@
   return [...latency, ...rpc, ...processor, ...await timed('starts', async () => await measureStarts(site))]
 }
 
-/** Agreement and recovery at two routers and one agent. */
+/** Measures log appends and recovery with two routers and one agent. */
 const measureAgreement = async (site: Site): Promise<readonly BenchRow[]> => {
   const processCount = ROUTERS.length + 1
   const records = await timed('records', async () => await measureRecords(site, COLD_MODELS, processCount))
   return [...records, ...await timed('recovery', async () => await measureRecovery(site))]
 }
 
-/** Takes all figures, one measurement after the other so that none disturbs another. */
+/** Runs all measurements, one after another so that they do not disturb each other. */
 export const measureAll = async (): Promise<readonly BenchRow[]> => {
   const path = await withSite(startSite('bench-path', ['r1'], [MODEL]), measurePath)
   const agreement = await withSite(startSite('bench-agreement', ROUTERS, [MODEL, ...COLD_MODELS]), measureAgreement)
--- a/scripts/bench/measureLatency.ts
+++ b/scripts/bench/measureLatency.ts
@@ -23,7 +23,7 @@
   })
 }
 
-/** Time that router and agent add to a call at the engine, by the number of its tokens. */
+/** Measures the latency that router and agent add to a call to the engine, by number of tokens. */
 export const measureLatency = async (calls: Calls): Promise<readonly BenchRow[]> => {
   const rows: BenchRow[] = []
   for (const tokenCount of TOKEN_COUNTS) rows.push(...await measureAt(calls, tokenCount))
--- a/scripts/bench/measureProcessor.ts
+++ b/scripts/bench/measureProcessor.ts
@@ -8,7 +8,7 @@
 const FEW_TOKENS = 1
 const MANY_TOKENS = 65
 
-/** At 10 ms a step of the processor clock, 400 requests bring the step to 0.025 ms a request. */
+/** The CPU clock advances in steps of 10 ms; over 400 requests that is a resolution of 0.025 ms per request. */
 const REQUEST_COUNT = 400
 const CONCURRENCY = 16
 
@@ -28,18 +28,18 @@
   await Promise.all(Array.from({ length: CONCURRENCY }, sendOneByOne))
 }
 
-const costOf = async (site: Site, call: Call): Promise<Costs> => {
-  const read = (): Costs => ({ routerUs: processorUsOf(site.router('r1').pid()), agentUs: processorUsOf(site.agent('a1').pid()) })
-  const before = read()
+const measureCosts = async (site: Site, call: Call): Promise<Costs> => {
+  const readTotals = (): Costs => ({ routerUs: processorUsOf(site.router('r1').pid()), agentUs: processorUsOf(site.agent('a1').pid()) })
+  const before = readTotals()
   await sendAll(call)
-  const after = read()
+  const after = readTotals()
   return { routerUs: (after.routerUs - before.routerUs) / REQUEST_COUNT, agentUs: (after.agentUs - before.agentUs) / REQUEST_COUNT }
 }
 
-/** Processor time of router and agent per request and per token: line through two numbers of tokens. */
+/** CPU time of router and agent per request and per token, from the line through two token counts. */
 export const measureProcessor = async (site: Site, calls: Calls): Promise<readonly BenchRow[]> => {
-  const few = await costOf(site, calls.stream(FEW_TOKENS))
-  const many = await costOf(site, calls.stream(MANY_TOKENS))
+  const few = await measureCosts(site, calls.stream(FEW_TOKENS))
+  const many = await measureCosts(site, calls.stream(MANY_TOKENS))
   const method = `${REQUEST_COUNT} requests, ${CONCURRENCY} at a time, of ${FEW_TOKENS} and ${MANY_TOKENS} tokens`
   const rowsOf = (name: string, fewUs: number, manyUs: number): readonly BenchRow[] => {
     const tokenUs = (manyUs - fewUs) / (MANY_TOKENS - FEW_TOKENS)
--- a/scripts/bench/measureRecords.ts
+++ b/scripts/bench/measureRecords.ts
@@ -13,41 +13,41 @@
 
 const timers = createTimerService()
 
-const appendCountOf = async (site: Site): Promise<number> => Number((await site.log.dump()).appendCount)
+const readAppendCount = async (site: Site): Promise<number> => Number((await site.log.dump()).appendCount)
 
 const countAppends = async (site: Site, run: () => Promise<void>): Promise<number> => {
-  const before = await appendCountOf(site)
+  const before = await readAppendCount(site)
   await run()
-  return await appendCountOf(site) - before
+  return await readAppendCount(site) - before
 }
 
-const askFor = async (site: Site, model: string, prompt: string, repeatable: boolean): Promise<void> => {
+const sendRequest = async (site: Site, model: string, prompt: string, repeatable: boolean): Promise<void> => {
   const { last } = await ask(site.routerAddresses, { service: SERVICE, model, prompt, repeatable, maxTokens: 1 })
-  if (last.kind !== 'answered') throw new Error(`${prompt} was ${last.kind}`)
+  if (last.kind !== 'answered') throw new Error(`request "${prompt}" ended as ${last.kind}, expected an answer`)
 }
 
-const changeOnce = async (site: Site, index: number, processCount: number): Promise<number> => {
+const applyChange = async (site: Site, index: number, processCount: number): Promise<number> => {
   const change = callerItem(`caller-${index}`)
   const startedMs = timers.unixMs()
   await site.apply([change])
-  const inForce = () => site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === change.name)
-  await site.rig.until(`${change.name} to be in force`, () => new Set(inForce().map(event => event.instance)).size >= processCount)
-  return Math.max(...inForce().map(event => event.atUnixMs)) - startedMs
+  const inForceEvents = () => site.rig.events.all().filter(event => event.name === 'configInForce' && event.item === change.name)
+  await site.rig.until(`${change.name} to be in force`, () => new Set(inForceEvents().map(event => event.instance)).size >= processCount)
+  return Math.max(...inForceEvents().map(event => event.atUnixMs)) - startedMs
 }
 
-/** Time until a change is in force everywhere, and appends to the log by what causes them. */
+/** Measures the time until a change is in force everywhere, and the log appends per cause. */
 export const measureRecords = async (site: Site, coldModels: readonly string[], processCount: number): Promise<readonly BenchRow[]> => {
-  await askFor(site, MODEL, 'warm', true)
+  await sendRequest(site, MODEL, 'warm', true)
   const idle = await countAppends(site, async () => { await sleep(timers, IDLE_MS) })
   const cold = await countAppends(site, async () => {
-    for (const model of coldModels) await askFor(site, model, `cold ${model}`, true)
+    for (const model of coldModels) await sendRequest(site, model, `cold ${model}`, true)
   })
   const once = await countAppends(site, async () => {
-    for (let index = 0; index < ONCE_COUNT; index += 1) await askFor(site, MODEL, `once ${index}`, false)
+    for (let index = 0; index < ONCE_COUNT; index += 1) await sendRequest(site, MODEL, `once ${index}`, false)
   })
   const tookMs: number[] = []
   const changes = await countAppends(site, async () => {
-    for (let index = 0; index < CHANGE_COUNT; index += 1) tookMs.push(await changeOnce(site, index, processCount))
+    for (let index = 0; index < CHANGE_COUNT; index += 1) tookMs.push(await applyChange(site, index, processCount))
   })
   return [
     { name: 'config.inForce', value: Math.max(...tookMs), unit: 'ms', method: `operator's call to the last of ${processCount} processes, slowest of ${CHANGE_COUNT} changes` },
--- a/scripts/bench/measureRecovery.ts
+++ b/scripts/bench/measureRecovery.ts
@@ -6,75 +6,75 @@
 import type { RigProcess, Site } from '@figmount/proof'
 import type { BenchRow } from './types.js'
 
-/** After this the caller sends no more; a send under way may still be answered. Without an answer it counts as not recovered. */
+/** Time after which the caller stops resending. A pending send may still be answered; otherwise the case counts as not recovered. */
 const GIVE_UP_MS = 10_000
 const DEADLINE_MS = 5000
 const TOKEN_COUNT = 50
 
 const timers = createTimerService()
 
-interface Victim {
+interface Target {
   readonly name: string
   readonly process: RigProcess
-  /** True where the bench starts it again at once, as a supervisor does. */
+  /** True if the bench restarts the process at once, as a supervisor would. */
   readonly isRestarted: boolean
 }
 
 interface Recovery {
-  /** null where the caller was not answered. */
+  /** null if the request was not answered. */
   readonly tookMs: number | null
-  /** What the caller was told last where it was not answered. */
+  /** The caller's last result if the request was not answered. */
   readonly reason: string
 }
 
-/** A key whose first send goes to the first router. */
-const keyFor = (prompt: string): string => `a-${prompt}-a`
+/** Returns a request key whose first send goes to the first router. */
+const makeFirstRouterKey = (prompt: string): string => `a-${prompt}-a`
 
 const expectAnswer = async (site: Site, prompt: string): Promise<void> => {
   const { last } = await ask(site.routerAddresses, { service: SERVICE, model: MODEL, prompt, maxTokens: 1 })
-  if (last.kind !== 'answered') throw new Error(`no answer between two cases of recovery: ${last.kind}`)
+  if (last.kind !== 'answered') throw new Error(`request between two recovery cases ended as ${last.kind}, expected an answer`)
 }
 
-/** Kills a process under a running request; time from the kill to the request's whole answer. */
-const recoverFrom = async (site: Site, { name, process, isRestarted }: Victim, state: string): Promise<Recovery> => {
+/** Kills a process during a request; measures the time from the kill to the complete answer. */
+const measureKill = async (site: Site, { name, process, isRestarted }: Target, state: string): Promise<Recovery> => {
   const prompt = `${name} ${state}`
   const addresses = [site.router('r1').address, site.router('r2').address]
-  const plan = { service: SERVICE, model: MODEL, prompt, maxTokens: TOKEN_COUNT, requestKey: keyFor(prompt), deadlineMs: DEADLINE_MS }
+  const plan = { service: SERVICE, model: MODEL, prompt, maxTokens: TOKEN_COUNT, requestKey: makeFirstRouterKey(prompt), deadlineMs: DEADLINE_MS }
   const sinceMark = site.rig.events.mark()
-  const asked = ask(() => addresses, plan, GIVE_UP_MS)
+  const pendingOutcome = ask(() => addresses, plan, GIVE_UP_MS)
   await site.rig.events.waitFor(event => event.name === 'generateStarted' && event.detail === prompt, `a run of ${prompt}`, { sinceMark })
   const killedMs = timers.nowMs()
   await process.kill()
   const restarted = isRestarted ? process.restart() : Promise.resolve()
-  const { last } = await asked
+  const { last } = await pendingOutcome
   const tookMs = timers.nowMs() - killedMs
   await restarted
   if (last.kind === 'answered') return { tookMs, reason: '' }
   return { tookMs: null, reason: `; last heard: ${last.refusal?.detail ?? last.error ?? last.kind}` }
 }
 
-/** Time to the next whole answer after a kill of the engine, the agent or one of two routers, with the log up and down. */
+/** Measures recovery after a kill of the engine, the agent or one of two routers, with the log available and unavailable. */
 export const measureRecovery = async (site: Site): Promise<readonly BenchRow[]> => {
-  // The agent comes last: with the log down it takes longest to serve again, and nobody need wait for that.
-  const victims: readonly Victim[] = [
+  // The agent comes last: with the log unavailable it recovers slowest, and no further case has to wait for it.
+  const targets: readonly Target[] = [
     { name: 'router', process: site.router('r1'), isRestarted: false },
     { name: 'engine', process: site.backend('a1'), isRestarted: true },
     { name: 'agent', process: site.agent('a1'), isRestarted: true }
   ]
   const rows: BenchRow[] = []
   for (const state of ['up', 'down'] as const) {
-    for (const victim of victims) {
-      await expectAnswer(site, `before ${victim.name} ${state}`)
+    for (const target of targets) {
+      await expectAnswer(site, `before ${target.name} ${state}`)
       if (state === 'down') await site.log.command({ action: 'outage', on: true })
-      const { tookMs, reason } = await recoverFrom(site, victim, state)
+      const { tookMs, reason } = await measureKill(site, target, state)
       if (state === 'down') await site.log.command({ action: 'outage', on: false })
-      if (!victim.process.isRunning()) await victim.process.restart()
-      const how = victim.isRestarted ? 'started again at once' : 'the other router stays'
+      if (!target.process.isRunning()) await target.process.restart()
+      const method = target.isRestarted ? 'started again at once' : 'the other router stays'
       rows.push({
-        name: `recovery.${victim.name}.log-${state}`,
+        name: `recovery.${target.name}.log-${state}`,
         value: tookMs,
         unit: 'ms',
-        method: `SIGKILL under a request of ${TOKEN_COUNT} tokens to its whole answer, one replica, ${how}; none: not answered by sends of ${GIVE_UP_MS} ms${reason}`
+        method: `SIGKILL under a request of ${TOKEN_COUNT} tokens to its whole answer, one replica, ${method}; none: not answered by sends of ${GIVE_UP_MS} ms${reason}`
       })
     }
   }
--- a/scripts/bench/measureRpc.ts
+++ b/scripts/bench/measureRpc.ts
@@ -6,7 +6,7 @@
 
 const MEDIAN = 50
 
-/** The callers' stream against the same request as JSON and against HTTP without RPC, all of one token, at one router. */
+/** Compares the streaming RPC with the same request as JSON and with plain HTTP: one token each, at one router. */
 export const measureRpc = async (calls: Calls): Promise<readonly BenchRow[]> => {
   const [stream, whole, healthz] = await timeCalls([calls.stream(1), calls.whole(1), calls.healthz])
   const streamMs = stream?.atMs(MEDIAN) ?? 0
--- a/scripts/bench/measureStarts.ts
+++ b/scripts/bench/measureStarts.ts
@@ -16,7 +16,7 @@
 const TOOLS = ['figmountctl', 'figmount-timeline', 'figmount-load'] as const
 
 const timers = createTimerService()
-const run = promisify(execFile)
+const runFile = promisify(execFile)
 
 const medianMs = async (prepare: () => Promise<unknown>, start: () => Promise<unknown>): Promise<number> => {
   const quantiles = createQuantiles()
@@ -29,14 +29,14 @@
   return quantiles.atMs(MEDIAN)
 }
 
-const rowsOf = async (name: string, process: RigProcess): Promise<readonly BenchRow[]> => [
+const processRows = async (name: string, process: RigProcess): Promise<readonly BenchRow[]> => [
   { name: `memory.${name}`, value: residentMbOf(process.pid()), unit: 'MB', method: 'resident, after the requests of this run' },
   { name: `start.${name}`, value: await medianMs(process.kill, process.restart), unit: 'ms', method: `spawn to processStarted, median of ${START_COUNT}` }
 ]
 
 const toolRow = async (name: string): Promise<BenchRow> => ({
   name: `start.${name}`,
-  value: await medianMs(async () => {}, async () => await run(process.execPath, [`${DIST}/${name}.mjs`, '--version'])),
+  value: await medianMs(async () => {}, async () => await runFile(process.execPath, [`${DIST}/${name}.mjs`, '--version'])),
   unit: 'ms',
   method: `spawn to exit of --version, median of ${START_COUNT}`
 })
@@ -44,9 +44,9 @@
 const sizeRows = (): readonly BenchRow[] => readdirSync(DIST).sort().map(file =>
   ({ name: `size.${file}`, value: statSync(`${DIST}/${file}`).size / BYTES_PER_KB, unit: 'KB', method: `size of ${DIST}/${file}` }))
 
-/** Start-up time and resident memory of router and agent, start-up time of the tools, and sizes of the bundles. */
+/** Measures startup time and resident memory of router and agent, startup time of the tools, and bundle sizes. */
 export const measureStarts = async (site: Site): Promise<readonly BenchRow[]> => {
-  const rows = [...await rowsOf('figmount-router', site.router('r1')), ...await rowsOf('figmount-agent', site.agent('a1'))]
+  const rows = [...await processRows('figmount-router', site.router('r1')), ...await processRows('figmount-agent', site.agent('a1'))]
   for (const name of TOOLS) rows.push(await toolRow(name))
   return [...rows, ...sizeRows()]
 }
--- a/scripts/bench/timeCalls.ts
+++ b/scripts/bench/timeCalls.ts
@@ -7,10 +7,10 @@
 
 const timers = createTimerService()
 
-/** One call to its whole answer; rejects when there is none. */
+/** Performs one call; resolves with the complete answer and rejects if there is none. */
 export type Call = () => Promise<void>
 
-/** Times calls of several kinds one after the other, interleaved so that a busy moment of the machine meets all kinds. */
+/** Times several kinds of call in turn; interleaving exposes all kinds to the same load of the machine. */
 export const timeCalls = async (calls: readonly Call[]): Promise<readonly Quantiles[]> => {
   const quantiles = calls.map(createQuantiles)
   for (let round = -WARM_UP_COUNT; round < SAMPLE_COUNT; round += 1) {
--- a/scripts/benchDecisions.ts
+++ b/scripts/benchDecisions.ts
@@ -7,17 +7,17 @@
 import type { CallerName, InstanceName, LogOffset, ModelId } from '@figmount/base'
 import type { ResidentView, RoutingCandidate, WaitingLoad, WaitingRequest } from '../packages/decisions/src/index.js'
 
-/** Measures the wall time of each decision at growing sizes and prints JSON lines. */
+/** Measures the wall-clock time of each decision at growing input sizes and prints one JSON object per line. */
 const SIZES = [10, 100, 1_000, 7_200] as const
 const GROUPS = 8
-/** A measurement runs for about this long, in rounds; the median of the rounds is printed. */
+/** Approximate duration of one round of a measurement; the median of all rounds is reported. */
 const ROUND_MS = 40
 const ROUNDS = 9
 const MODELS_AND_ADAPTERS = 30_000
 
 const random = makeRandom(7)
 
-const candidate = (index: number): RoutingCandidate => ({
+const makeCandidate = (index: number): RoutingCandidate => ({
   instance: `agent-${index}` as InstanceName,
   slotIndex: index,
   fence: 1 as LogOffset,
@@ -33,7 +33,7 @@
   sameDataCentre: index % GROUPS === 0
 })
 
-const waiting = (index: number): WaitingRequest => ({
+const makeWaiting = (index: number): WaitingRequest => ({
   id: `r-${index}`,
   model: `s/m-${index % 40}` as ModelId,
   adapter: '',
@@ -46,7 +46,7 @@
   deadlineAtMs: 1e9
 })
 
-const resident = (index: number): ResidentView => ({
+const makeResident = (index: number): ResidentView => ({
   model: `s/m-${index >> 3}` as ModelId,
   adapter: index % 8 === 0 ? '' : `a-${index}`,
   memoryMb: index % 8 === 0 ? 20_000 : 300,
@@ -59,7 +59,7 @@
   pinned: false
 })
 
-const load = (index: number): WaitingLoad => ({
+const makeLoad = (index: number): WaitingLoad => ({
   model: `s/m-${index}` as ModelId,
   waitingCount: 1 + index % 9,
   highestPriority: 5,
@@ -69,9 +69,9 @@
   tier: 'remote'
 })
 
-const many = <T>(count: number, make: (index: number) => T): readonly T[] => Array.from({ length: count }, (_, index) => make(index))
+const makeList = <T>(count: number, make: (index: number) => T): readonly T[] => Array.from({ length: count }, (_, index) => make(index))
 
-const microsecondsOf = (decide: () => unknown): number => {
+const medianMicroseconds = (decide: () => unknown): number => {
   const rounds: number[] = []
   for (let round = 0; round < ROUNDS; round++) {
     const startedMs = performance.now()
@@ -86,40 +86,40 @@
 }
 
 const report = (decision: string, sizeName: string, size: number, decide: () => unknown): void => {
-  const micros = microsecondsOf(decide)
+  const micros = medianMicroseconds(decide)
   console.log(JSON.stringify({ decision, [sizeName]: size, microseconds: Math.round(micros * 100) / 100 }))
 }
 
 const request = { remainingMs: 30_000, expectedTokens: 100, priority: 5, coldStartMs: 20_000 }
 
 for (const size of SIZES) {
-  const candidates = many(size, candidate)
-  const digests = many(GROUPS, group => digestGroup(`dc-${group}`, candidates.filter((_, index) => index % GROUPS === group)))
+  const candidates = makeList(size, makeCandidate)
+  const digests = makeList(GROUPS, group => digestGroup(`dc-${group}`, candidates.filter((_, index) => index % GROUPS === group)))
   report('routing, baseline over all', 'servers', size, () => chooseFirstReady(request, candidates, random))
   report('routing, least cost', 'servers', size, () => chooseLeastCost(request, candidates, random))
   report('routing, least cost over digests', 'servers', size, () => chooseLeastCost(request, candidatesFromDigests(digests, 'dc-0', random), random))
   report('digest of one group, once a report', 'servers', size, () => digestGroup('dc-0', candidates.slice(0, Math.ceil(size / GROUPS))))
 }
 for (const size of [10, 100, 1_000]) {
-  const queue = many(size, waiting)
+  const queue = makeList(size, makeWaiting)
   let fairness = noFairness
-  for (const one of queue) fairness = accountDecayed(fairness, one, 100, 10)
+  for (const request of queue) fairness = accountDecayed(fairness, request, 100, 10)
   report('order of service', 'waiting', size, () => pickFairShare(queue, fairness, 10))
   report('work ahead', 'waiting', size, () => fairAhead(queue, queue[0]!, fairness, 10))
   report('accounting', 'waiting', size, () => accountDecayed(fairness, queue[0]!, 100, 10))
 }
 for (const size of [8, 64, 512]) {
-  const residents = many(size, resident)
+  const residents = makeList(size, makeResident)
   report('eviction', 'residents', size, () => evictLeastLoss(residents, 30_000))
 }
 for (const size of [4, 40, 400]) {
-  const loads = many(size, load)
+  const loads = makeList(size, makeLoad)
   report('order of loads', 'loads', size, () => orderByNeed(loads, 1_000))
 }
-const gaps = many(32, () => random() * 3_600_000)
+const gaps = makeList(32, () => random() * 3_600_000)
 const idle = { idleMs: 1_000, pastGapsMs: gaps, reloadMs: 20_000, memoryShare: 0.3, idleCostWeight: 0.5 }
 report('keep-alive', 'gaps', gaps.length, () => keepByHistory(idle))
-const idleFleet = many(MODELS_AND_ADAPTERS, () => ({ ...idle, idleMs: random() * 1e6 }))
+const idleFleet = makeList(MODELS_AND_ADAPTERS, () => ({ ...idle, idleMs: random() * 1e6 }))
 let next = 0
 report('keep-alive, one of many', 'modelsAndAdapters', MODELS_AND_ADAPTERS, () => keepByHistory(idleFleet[next++ % MODELS_AND_ADAPTERS]!))
 const admission = { remainingMs: 30_000, expectedTokens: 100, priority: 5, readyInMs: 0, secondsAhead: 3, tokenIntervalMs: 30, queuedCount: 20, maxQueuedCount: 200 }
--- a/scripts/benchRecords.ts
+++ b/scripts/benchRecords.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the fold, snapshots, proposals and records of figmount at several sizes and prints one
- * JSON object a line. Run with `npm run bench:records`; needs `--expose-gc` for the memory figures.
+ * Benchmarks folding, snapshots, proposals and record counts at several sizes and prints one JSON object per line.
+ * Run with `npm run bench:records`: memory figures need `--expose-gc`.
  */
 import {
   applyRecord, decodeRecord, decodeState, emptyState, encodeRecord, encodeState, foldRecords, proposeRights, shouldPropose, splitSnapshot
@@ -18,7 +18,7 @@
   readonly replicasPerModel: number
 }
 
-/** The last size is that of the long-run target: 1,200 models, about 29,000 adapters, 7,200 agents. */
+/** The last size is the long-term target: 1,200 models, about 29,000 adapters, 7,200 agents. */
 const SIZES: readonly Size[] = [
   { name: '10 models', serviceCount: 1, modelsPerService: 10, adaptersPerModel: 2, agentCount: 8, replicasPerModel: 2 },
   { name: '100 models', serviceCount: 2, modelsPerService: 50, adaptersPerModel: 2, agentCount: 40, replicasPerModel: 2 },
@@ -36,13 +36,13 @@
 const toIncarnation = (index: number): Incarnation => `0mhx3k2p1-${String(index).padStart(8, '0')}` as Incarnation
 
 let recordCount = 0
-const complete = (record: NewRecord): LogRecord =>
+const toLogRecord = (record: NewRecord): LogRecord =>
   ({ recordId: `0mhx3k2p1-00000000.${recordCount++}`, writer, writerIncarnation: toIncarnation(0), ...record }) as LogRecord
 
-const place = (records: readonly LogRecord[], from: AgreedState): readonly PlacedRecord[] =>
+const toPlacedRecords = (records: readonly LogRecord[], from: AgreedState): readonly PlacedRecord[] =>
   records.map((record, index) => ({ offset: (from.nextOffset + index) as LogOffset, appendedAtMs: 1_800_000_000_000 + from.nextOffset + index, record }))
 
-const bodyOf = (size: Size, change: number): string => JSON.stringify({
+const makeServiceBody = (size: Size, change: number): string => JSON.stringify({
   kind: 'models',
   models: Array.from({ length: size.modelsPerService }, (_, index) => ({
     name: `condition-reader-${index}`,
@@ -57,11 +57,11 @@
   priorities: { crew: 5, desk: 1 }
 })
 
-const configSet = (size: Size, service: number, expectedVersion: number): LogRecord => complete({
-  kind: 'config.set', item: `service/${serviceName(service)}` as ItemName, expectedVersion, bodyJson: bodyOf(size, expectedVersion), operatorName: 'operator'
+const configSet = (size: Size, service: number, expectedVersion: number): LogRecord => toLogRecord({
+  kind: 'config.set', item: `service/${serviceName(service)}` as ItemName, expectedVersion, bodyJson: makeServiceBody(size, expectedVersion), operatorName: 'operator'
 })
 
-const agentUp = (size: Size, index: number, incarnation: number): LogRecord => complete({
+const agentUp = (size: Size, index: number, incarnation: number): LogRecord => toLogRecord({
   kind: 'agent.up',
   instance: agentName(index),
   incarnation: toIncarnation(incarnation),
@@ -78,7 +78,7 @@
 
 const rounded = (value: number, digits = 1): number => Number(value.toFixed(digits))
 
-/** Mean time of one call in microseconds, after a warm-up of a tenth. */
+/** Returns the mean time of one call in microseconds, after a warm-up of a tenth of the repeats. */
 const timeUs = (repeats: number, run: (index: number) => void): number => {
   for (let index = 0; index < repeats / 10; index += 1) run(index)
   const startMs = performance.now()
@@ -86,48 +86,48 @@
   return rounded((performance.now() - startMs) * 1000 / repeats)
 }
 
-const collect = (globalThis as { readonly gc?: () => void }).gc
+const collectGarbage = (globalThis as { readonly gc?: () => void }).gc
 const heapMb = (): number => {
-  collect?.()
+  collectGarbage?.()
   return process.memoryUsage().heapUsed / 1e6
 }
 
-/** Builds the state by what routers and agents would append, and counts it. */
-const build = (size: Size): { readonly state: AgreedState, readonly records: readonly LogRecord[], readonly rounds: number } => {
+/** Builds a settled state from the records that routers and agents would append, and counts the rounds of proposals. */
+const buildState = (size: Size): { readonly state: AgreedState, readonly records: readonly LogRecord[], readonly rounds: number } => {
   let state = emptyState
   const records: LogRecord[] = []
   const apply = (batch: readonly LogRecord[]): void => {
     records.push(...batch)
-    state = foldRecords(state, place(batch, state)).state
+    state = foldRecords(state, toPlacedRecords(batch, state)).state
   }
   for (let service = 0; service < size.serviceCount; service += 1) apply([configSet(size, service, 0)])
   apply(Array.from({ length: size.agentCount }, (_, index) => agentUp(size, index, 0)))
-  const instances = listed(size)
+  const instances = listInstances(size)
   let rounds = 0
   for (;;) {
     const proposed = proposeRights(state, instances, { mayPropose: () => true, maxCount: 2_000 }, state.asOfMs)
     if (proposed.length === 0) return { state, records, rounds }
     rounds += 1
-    apply(proposed.map(complete))
+    apply(proposed.map(toLogRecord))
   }
 }
 
-const listed = (size: Size): readonly ListedInstance[] =>
+const listInstances = (size: Size): readonly ListedInstance[] =>
   Array.from({ length: size.agentCount }, (_, index) => ({ name: agentName(index), leaving: false }))
 
 const measureFold = (size: Size, state: AgreedState): void => {
   const restart = agentUp(size, 1, 1)
   const change = configSet(size, 0, 1)
   const [right] = [...state.rights.values()].filter(candidate => candidate.key.kind === 'replica')
-  const revoke = right && complete({ kind: 'right.revoke', right: right.key, fence: right.fence })
-  const single = (record: LogRecord): number => timeUs(REPEATS, () => { applyRecord(state, place([record], state)[0] as PlacedRecord) })
-  const batch = place(Array.from({ length: 200 }, (_, index) => agentUp(size, index % size.agentCount, 2 + index)), state)
+  const revoke = right && toLogRecord({ kind: 'right.revoke', right: right.key, fence: right.fence })
+  const timeSingle = (record: LogRecord): number => timeUs(REPEATS, () => { applyRecord(state, toPlacedRecords([record], state)[0] as PlacedRecord) })
+  const batch = toPlacedRecords(Array.from({ length: 200 }, (_, index) => agentUp(size, index % size.agentCount, 2 + index)), state)
   report({
     what: 'fold',
     size: size.name,
-    agentUpAloneUs: single(restart),
-    revokeAloneUs: revoke ? single(revoke) : 0,
-    configSetAloneUs: single(change),
+    agentUpAloneUs: timeSingle(restart),
+    revokeAloneUs: revoke ? timeSingle(revoke) : 0,
+    configSetAloneUs: timeSingle(change),
     agentUpInBatchOf200Us: rounded(timeUs(REPEATS / 10, () => { foldRecords(state, batch) }) / batch.length)
   })
 }
@@ -138,7 +138,7 @@
   const payloads = records.map(encodeRecord)
   const fullMs = timeUs(1, () => {
     const decoded = payloads.map(payload => decodeRecord(payload).unsafeCoerce())
-    foldRecords(emptyState, place(decoded, emptyState))
+    foldRecords(emptyState, toPlacedRecords(decoded, emptyState))
   }) / 1000
   report({
     what: 'snapshot',
@@ -163,7 +163,7 @@
 }
 
 const measureProposals = (size: Size, state: AgreedState, rounds: number): void => {
-  const instances = listed(size)
+  const instances = listInstances(size)
   const self = ROUTERS[1] as InstanceName
   report({
     what: 'proposals',
@@ -175,14 +175,14 @@
   })
 }
 
-/** Records that one event costs, by letting it happen to a settled state. */
+/** Counts the records that one event causes, by applying it to a settled state. */
 const measureAppends = (size: Size, state: AgreedState): void => {
-  const [held] = [...state.rights.values()].filter(right => right.key.kind === 'keys')
-  const holder = held?.holder ?? agentName(0)
+  const [keysRight] = [...state.rights.values()].filter(right => right.key.kind === 'keys')
+  const holder = keysRight?.holder ?? agentName(0)
   const rightsOf = [...state.rights.values()].filter(right => right.holder === holder)
   const keysCount = rightsOf.filter(right => right.key.kind === 'keys').length
-  const draining = applyRecord(state, place([complete({ kind: 'drain.set', instance: holder, draining: true, operatorName: 'operator' })], state)[0] as PlacedRecord).state
-  const revokes = proposeRights(draining, listed(size), { mayPropose: () => true, maxCount: 10_000 }, state.asOfMs).length
+  const draining = applyRecord(state, toPlacedRecords([toLogRecord({ kind: 'drain.set', instance: holder, draining: true, operatorName: 'operator' })], state)[0] as PlacedRecord).state
+  const revokes = proposeRights(draining, listInstances(size), { mayPropose: () => true, maxCount: 10_000 }, state.asOfMs).length
   const body = configSet(size, 0, 1)
   report({
     what: 'records per event',
@@ -194,12 +194,12 @@
     agentRestart: 1 + keysCount,
     drain: 1 + revokes * 3,
     rightsOfThatAgent: rightsOf.length,
-    grantBytes: encodeRecord(complete({ kind: 'right.grant', right: held?.key ?? { kind: 'keys', target: 'a/b' as never }, instance: holder, incarnation: toIncarnation(0), expectedFence: 123456 })).byteLength
+    grantBytes: encodeRecord(toLogRecord({ kind: 'right.grant', right: keysRight?.key ?? { kind: 'keys', target: 'a/b' as never }, instance: holder, incarnation: toIncarnation(0), expectedFence: 123456 })).byteLength
   })
 }
 
 for (const size of SIZES) {
-  const { state, records, rounds } = build(size)
+  const { state, records, rounds } = buildState(size)
   measureFold(size, state)
   measureSnapshot(size, state, records)
   measureProposals(size, state, rounds)
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,9 +1,9 @@
-/** Bundles each binary under `dist/`. */
+/** Builds one bundle per binary under `dist/`. */
 import { existsSync } from 'node:fs'
 
 import { bundle } from './bundle.js'
 
-/** Binary name and its entry file. */
+/** Entry file of each binary. */
 const BINARIES = {
   'figmount-router': 'packages/router/src/bin.ts',
   'figmount-agent': 'packages/agent/src/bin.ts',
@@ -15,7 +15,7 @@
   'platform/figmount-agent': 'platform/src/agentBin.ts'
 } as const
 
-// Each alone: what binaries share would otherwise lie in parts that each start reads one by one.
+// One build per binary: in a joint build, esbuild moves shared code to chunk files, and every start has to read them one by one.
 for (const [name, entry] of Object.entries(BINARIES)) {
   if (existsSync(entry)) await bundle([{ in: entry, out: name }], 'dist')
 }
--- a/scripts/bundle.ts
+++ b/scripts/bundle.ts
@@ -4,18 +4,18 @@
 
 const EXECUTABLE = 0o755
 
-// Bundled CommonJS dependencies call `require` for Node's own modules, which ESM output lacks.
+// Bundled CommonJS dependencies call `require` for Node's built-in modules, which does not exist in ESM output.
 const REQUIRE_SHIM = "import { createRequire as figmountRequire } from 'node:module'; const require = figmountRequire(import.meta.url);"
 
-/** An entry file and the name of its bundle, without extension. */
+/** An entry file and the name of its bundle without extension. */
 export interface BundleEntry {
   readonly in: string
   readonly out: string
 }
 
 /**
- * Bundles binaries with all that they import. What a binary imports only when it is needed lies in a file of its own beside it, so
- * that a start reads no more than it uses.
+ * Bundles binaries with all their imports. Dynamic imports go to separate files beside the bundle, so that a start reads
+ * only the code it uses.
  */
 export const bundle = async (entries: readonly BundleEntry[], outdir: string): Promise<void> => {
   await build({
@@ -33,10 +33,10 @@
     minifySyntax: true,
     minifyWhitespace: true,
     legalComments: 'none',
-    // Written beside the bundle and read by the laboratory's profile alone.
+    // Written beside the bundle; only the profiler of the lab (`npm run lab`) reads it.
     sourcemap: 'external',
     logLevel: 'warning'
   })
-  // npx makes a binary executable only when it first meets its clone: one that is built anew is refused.
+  // npx makes a binary executable only when it first sees the clone; after a rebuild the new file could not be run.
   for (const { out } of entries) chmodSync(join(outdir, `${out}.mjs`), EXECUTABLE)
 }
--- a/scripts/checkGenerated.ts
+++ b/scripts/checkGenerated.ts
@@ -1,4 +1,4 @@
-/** Fails when the committed code under `packages/schema/src/gen` differs from what the schema files generate. */
+/** Fails if the committed code under `packages/schema/src/gen` differs from what `buf generate` produces. */
 import { execFileSync } from 'node:child_process'
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
--- a/scripts/decisions/keepAliveTable.ts
+++ b/scripts/decisions/keepAliveTable.ts
@@ -3,7 +3,7 @@
 import { simulateKeepAlive } from '../../packages/decisions/src/simulation/keepalive/simulateKeepAlive.js'
 
 import type { Deployment, KeepMeasures } from '../../packages/decisions/src/simulation/keepalive/types.js'
-import type { Chart, ChartSeries } from './svgChart.js'
+import type { Chart, ChartSeries } from './renderSvgChart.js'
 
 const WEIGHTS = [0, 0.05, 0.1, 0.2, 0.3, 0.5, 0.7, 0.8, 0.9, 0.95, 1] as const
 const FIXED_MINUTES = [1, 5, 15, 30, 60, 240] as const
@@ -16,7 +16,7 @@
   readonly measures: KeepMeasures
 }
 
-/** Every model and adapter loaded all the time: no cold start, and memory that the site does not have. */
+/** All models and adapters loaded all the time: no cold starts, but more memory than the site has. */
 const alwaysOn = (deployment: Deployment): KeepRun => {
   const memoryMb = [...deployment.models, ...deployment.adapters].reduce((sum, item) => sum + item.memoryMb, 0)
   const idleHoursPerDay = memoryMb / deployment.runnerMemoryMb * HOURS_PER_DAY
@@ -35,17 +35,17 @@
 
 const seconds = (ms: number): string => (ms / 1_000).toFixed(1)
 
-const row = (site: string, { policy, setting, measures }: KeepRun): string => [
+const renderRow = (site: string, { policy, setting, measures }: KeepRun): string => [
   '', site, policy, setting, measures.useCount, measures.coldCount, seconds(measures.meanWaitMs), seconds(measures.p95WaitMs),
   seconds(measures.p99WaitMs), seconds(measures.p999WaitMs), measures.idleHoursPerDay.toFixed(1), measures.loadCount, ''
 ].join(' | ').trim()
 
-const HEAD = [
+const TABLE_HEAD = [
   '| site | policy | weight or time | uses | cold | mean wait s | p95 s | p99 s | p99.9 s | idle accelerator h a day | loads |',
   '|---|---|---|---|---|---|---|---|---|---|---|'
 ]
 
-const LOOKS: Readonly<Record<string, Pick<ChartSeries, 'colour' | 'isDashed'>>> = {
+const SERIES_STYLES: Readonly<Record<string, Pick<ChartSeries, 'colour' | 'isDashed'>>> = {
   figmount: { colour: '#0b6e4f' },
   'without preloading': { colour: '#d98e04' },
   hindsight: { colour: '#6a4c93', isDashed: true },
@@ -53,15 +53,15 @@
   'least recently used': { colour: '#1d3557' }
 }
 
-const chart = (deployment: Deployment, runs: readonly KeepRun[]): Chart => ({
+const makeChart = (deployment: Deployment, runs: readonly KeepRun[]): Chart => ({
   title: `Waiting for loads against idle accelerators: ${deployment.name}`,
   xTitle: 'idle accelerator hours a day',
   yTitle: 'mean wait for loads, s',
   maxX: 240,
   maxY: 12,
-  series: Object.entries(LOOKS).map(([name, look]) => ({
+  series: Object.entries(SERIES_STYLES).map(([name, style]) => ({
     name,
-    ...look,
+    ...style,
     points: runs.filter(run => run.policy === name).map(run => ({
       x: run.measures.idleHoursPerDay,
       y: run.measures.meanWaitMs / 1_000,
@@ -70,14 +70,14 @@
   }))
 })
 
-/** Tables and charts of both sites. */
+/** Creates the table and the charts of both sites. */
 export const makeKeepAliveTable = (): { readonly lines: readonly string[], readonly charts: readonly Chart[] } => {
-  const lines = [...HEAD]
+  const lines = [...TABLE_HEAD]
   const charts: Chart[] = []
   for (const deployment of [consortium(), carpatica()]) {
     const runs = runAll(deployment)
-    lines.push(...runs.map(run => row(deployment.name, run)))
-    charts.push(chart(deployment, runs))
+    lines.push(...runs.map(run => renderRow(deployment.name, run)))
+    charts.push(makeChart(deployment, runs))
   }
   return { lines, charts }
 }
--- a/scripts/decisions/patternTable.ts
+++ b/scripts/decisions/patternTable.ts
@@ -24,9 +24,9 @@
 
 const ALL_CANDIDATES = 16
 
-const but = (name: string, change: Partial<Policies>): NamedPolicies => ({ name, policies: { ...figmountPolicies, ...change } })
+const makeVariant = (name: string, change: Partial<Policies>): NamedPolicies => ({ name, policies: { ...figmountPolicies, ...change } })
 
-const both: readonly NamedPolicies[] = [
+const basePolicies: readonly NamedPolicies[] = [
   { name: 'baseline', policies: baselinePolicies },
   { name: 'figmount', policies: figmountPolicies }
 ]
@@ -34,33 +34,33 @@
 
 const waitOf = (candidate: RoutingCandidate): number => candidate.readyInMs + (candidate.queuedSeconds + candidate.unreportedSeconds) * 1_000
 
-/** The least loaded member of each group, as a balancer sees it that hears group minima only. */
+/** The least loaded member of each group: the view of a balancer that receives only the minimum per group. */
 const groupMinima = (candidates: readonly RoutingCandidate[]): readonly RoutingCandidate[] => {
   const least = new Map<number, RoutingCandidate>()
   for (const candidate of candidates) {
     const group = candidate.slotIndex % GROUP_COUNT
-    const known = least.get(group)
-    if (!known || waitOf(candidate) < waitOf(known)) least.set(group, candidate)
+    const best = least.get(group)
+    if (!best || waitOf(candidate) < waitOf(best)) least.set(group, candidate)
   }
   return [...least.values()]
 }
 
-const overMinima = (choose: ChooseBackend): ChooseBackend => (request, candidates, random) => choose(request, groupMinima(candidates), random)
-
-const leastOfMinima = but('but: least of four group minima', { chooseBackend: overMinima(makeChooseLeastCost(GROUP_COUNT)) })
-const twoOfMinima = but('but: two choices of four group minima', { chooseBackend: overMinima(chooseLeastCost) })
-const leastOfAll = but('but: least of all servers', { chooseBackend: makeChooseLeastCost(ALL_CANDIDATES) })
-const threeChoices = but('but: three choices', { chooseBackend: makeChooseLeastCost(3) })
-const firstReady = but('but: baseline routing', { chooseBackend: chooseFirstReady })
-const alwaysPrefix = but('but: always the prefix holder', { chooseBackend: choosePrefixHolder })
-const inOrder = but('but: queue in order', { pickNext: pickFirstCome, accountServed: accountNothing, estimateAhead: allAhead, limitLong: limitNothing })
-const noLimit = but('but: no limit on long ones', { limitLong: limitNothing })
-const untilFull = but('but: admit until full', { admit: admitUntilFull })
-const noShedding = but('but: wait to the deadline', { shedWaiting: shedNothing })
-const blind = but('but: queues not by priority', { seesPriorities: false })
-const noMove = but('but: streams stay', { chooseMove: neverMove })
-const fixedRetry = but('but: fixed come-back time', { chooseRetryAfter: retryAfterFixed })
-const arrivalLoads = but('but: loads in order', { orderLoads: orderByArrival })
+const routeOverGroupMinima = (choose: ChooseBackend): ChooseBackend => (request, candidates, random) => choose(request, groupMinima(candidates), random)
+
+const leastOfMinima = makeVariant('but: least of four group minima', { chooseBackend: routeOverGroupMinima(makeChooseLeastCost(GROUP_COUNT)) })
+const twoOfMinima = makeVariant('but: two choices of four group minima', { chooseBackend: routeOverGroupMinima(chooseLeastCost) })
+const leastOfAll = makeVariant('but: least of all servers', { chooseBackend: makeChooseLeastCost(ALL_CANDIDATES) })
+const threeChoices = makeVariant('but: three choices', { chooseBackend: makeChooseLeastCost(3) })
+const firstReady = makeVariant('but: baseline routing', { chooseBackend: chooseFirstReady })
+const alwaysPrefix = makeVariant('but: always the prefix holder', { chooseBackend: choosePrefixHolder })
+const inOrder = makeVariant('but: queue in order', { pickNext: pickFirstCome, accountServed: accountNothing, estimateAhead: allAhead, limitLong: limitNothing })
+const noLimit = makeVariant('but: no limit on long ones', { limitLong: limitNothing })
+const untilFull = makeVariant('but: admit until full', { admit: admitUntilFull })
+const noShedding = makeVariant('but: wait to the deadline', { shedWaiting: shedNothing })
+const ignorePriorities = makeVariant('but: queues not by priority', { seesPriorities: false })
+const noMove = makeVariant('but: streams stay', { chooseMove: neverMove })
+const fixedRetry = makeVariant('but: fixed come-back time', { chooseRetryAfter: retryAfterFixed })
+const arrivalLoads = makeVariant('but: loads in order', { orderLoads: orderByArrival })
 
 interface Case {
   readonly scenario: Scenario
@@ -69,50 +69,50 @@
 }
 
 const cases = (): readonly Case[] => [
-  { scenario: patterns.burst(), policies: [...both, untilFull, inOrder, fixedRetry] },
-  { scenario: patterns.hotCaller(), policies: [...both, inOrder, untilFull], observed: 'the others' },
-  { scenario: patterns.hotPrefix(), policies: [...both, firstReady, alwaysPrefix] },
-  { scenario: patterns.slowServer(), policies: [...both, firstReady, noMove] },
-  { scenario: patterns.manyRouters(), policies: [...both, threeChoices, leastOfAll, leastOfMinima, twoOfMinima] },
-  { scenario: patterns.longAmongShort(), policies: [...both, noLimit, inOrder], observed: 'short' },
-  { scenario: patterns.urgentReview(), policies: [...both, inOrder], observed: 'urgent' },
-  { scenario: patterns.overload(1.5), policies: [...both, untilFull, inOrder], observed: 'urgent' },
-  { scenario: patterns.overload(3), policies: [...both, untilFull, noShedding, blind], observed: 'urgent' },
-  { scenario: patterns.overload(10), policies: both, observed: 'urgent' },
-  { scenario: patterns.outage(), policies: [...both, untilFull, noShedding, fixedRetry] },
-  { scenario: patterns.coldBurst(), policies: [...both, firstReady], observed: 'cold' },
-  { scenario: patterns.wakeUp(), policies: [...both, arrivalLoads] }
+  { scenario: patterns.burst(), policies: [...basePolicies, untilFull, inOrder, fixedRetry] },
+  { scenario: patterns.hotCaller(), policies: [...basePolicies, inOrder, untilFull], observed: 'the others' },
+  { scenario: patterns.hotPrefix(), policies: [...basePolicies, firstReady, alwaysPrefix] },
+  { scenario: patterns.slowServer(), policies: [...basePolicies, firstReady, noMove] },
+  { scenario: patterns.manyRouters(), policies: [...basePolicies, threeChoices, leastOfAll, leastOfMinima, twoOfMinima] },
+  { scenario: patterns.longAmongShort(), policies: [...basePolicies, noLimit, inOrder], observed: 'short' },
+  { scenario: patterns.urgentReview(), policies: [...basePolicies, inOrder], observed: 'urgent' },
+  { scenario: patterns.overload(1.5), policies: [...basePolicies, untilFull, inOrder], observed: 'urgent' },
+  { scenario: patterns.overload(3), policies: [...basePolicies, untilFull, noShedding, ignorePriorities], observed: 'urgent' },
+  { scenario: patterns.overload(10), policies: basePolicies, observed: 'urgent' },
+  { scenario: patterns.outage(), policies: [...basePolicies, untilFull, noShedding, fixedRetry] },
+  { scenario: patterns.coldBurst(), policies: [...basePolicies, firstReady], observed: 'cold' },
+  { scenario: patterns.wakeUp(), policies: [...basePolicies, arrivalLoads] }
 ]
 
 const seconds = (ms: number): string => (ms / 1_000).toFixed(1)
 
-const row = (pattern: string, policy: string, who: string, measures: Measures): string => [
-  '', pattern, policy, who, `${measures.servedCount} of ${measures.requestCount}`, measures.goodputPerSecond.toFixed(2),
+const renderRow = (pattern: string, policy: string, group: string, measures: Measures): string => [
+  '', pattern, policy, group, `${measures.servedCount} of ${measures.requestCount}`, measures.goodputPerSecond.toFixed(2),
   seconds(measures.p50FirstTokenMs), seconds(measures.p99FirstTokenMs), seconds(measures.p999FirstTokenMs),
   measures.missedCount, measures.refusalCount, seconds(measures.meanLostMs), measures.earlyRefusalShare.toFixed(2), measures.trueRefusalShare.toFixed(2), measures.attemptCount,
   measures.fairness.toFixed(3), measures.coldStartCount, seconds(measures.lastSlowArrivalMs), ''
 ].join(' | ').trim()
 
-const HEAD = [
+const TABLE_HEAD = [
   '| pattern | policy | whose | served | goodput /s | p50 s | p99 s | p99.9 s | missed | refused | lost s | early | true | attempts | fairness | cold starts | last slow s |',
   '|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|'
 ]
 
-/** What a chart needs of the outage pattern. */
+/** Data for the chart of the outage pattern. */
 export interface OutageRun {
   readonly policy: string
   readonly servedPerBucket: readonly number[]
 }
 
-/** Runs every pattern with its policies; one table row for each, and one more for the callers that matter most in it. */
+/** Simulates every pattern with its policies: one table row each, and one for the observed group of callers if there is one. */
 export const makePatternTable = (): { readonly lines: readonly string[], readonly outage: readonly OutageRun[] } => {
-  const lines = [...HEAD]
+  const lines = [...TABLE_HEAD]
   const outage: OutageRun[] = []
   for (const { scenario, policies, observed } of cases()) {
     for (const { name, policies: functions } of policies) {
       const result = simulate(scenario, functions)
-      lines.push(row(scenario.name, name, 'all', result.all))
-      if (observed) lines.push(row(scenario.name, name, observed, result.observed))
+      lines.push(renderRow(scenario.name, name, 'all', result.all))
+      if (observed) lines.push(renderRow(scenario.name, name, observed, result.observed))
       if (scenario.name === 'outage') outage.push({ policy: name, servedPerBucket: result.all.servedPerBucket })
     }
   }
--- a/scripts/decisions/svgChart.ts
+++ b/scripts/decisions/renderSvgChart.ts
@@ -1,4 +1,4 @@
-/** One line or set of points of a chart. */
+/** One line or set of points in a chart. */
 export interface ChartSeries {
   readonly name: string
   readonly points: readonly ChartPoint[]
@@ -9,7 +9,7 @@
 export interface ChartPoint {
   readonly x: number
   readonly y: number
-  /** Written beside the point. */
+  /** Text beside the point. */
   readonly label?: string
 }
 
@@ -18,7 +18,7 @@
   readonly xTitle: string
   readonly yTitle: string
   readonly series: readonly ChartSeries[]
-  /** Upper ends of the axes; points beyond are left out. */
+  /** Upper ends of the axes; points beyond them are not drawn. */
   readonly maxX: number
   readonly maxY: number
 }
@@ -37,8 +37,8 @@
 const text = (x: number, y: number, content: string, attributes = ''): string =>
   `<text x="${fixed(x)}" y="${fixed(y)}" ${attributes}>${escape(content)}</text>`
 
-/** Renders a chart as SVG text; the same input gives the same text. */
-export const svgChart = (chart: Chart): string => {
+/** Renders a chart as SVG text; deterministic. */
+export const renderSvgChart = (chart: Chart): string => {
   const right = WIDTH - RIGHT
   const bottom = HEIGHT - BOTTOM
   const toX = (x: number): number => LEFT + x / chart.maxX * (right - LEFT)
@@ -56,14 +56,14 @@
   })
 
   const drawSeries = (series: ChartSeries, index: number): readonly string[] => {
-    const inside = series.points.filter(point => point.x <= chart.maxX && point.y <= chart.maxY)
-    const path = inside.map(point => `${fixed(toX(point.x))},${fixed(toY(point.y))}`).join(' ')
+    const visiblePoints = series.points.filter(point => point.x <= chart.maxX && point.y <= chart.maxY)
+    const path = visiblePoints.map(point => `${fixed(toX(point.x))},${fixed(toY(point.y))}`).join(' ')
     const dash = series.isDashed ? ' stroke-dasharray="6 4"' : ''
     const legendY = TOP + 14 + index * 20
     return [
       `<polyline points="${path}" fill="none" stroke="${series.colour}" stroke-width="2"${dash}/>`,
-      ...inside.map(point => `<circle cx="${fixed(toX(point.x))}" cy="${fixed(toY(point.y))}" r="3" fill="${series.colour}"/>`),
-      ...inside.flatMap(point => point.label ? [text(toX(point.x) + 5, toY(point.y) - 6, point.label, `fill="${series.colour}" font-size="10"`)] : []),
+      ...visiblePoints.map(point => `<circle cx="${fixed(toX(point.x))}" cy="${fixed(toY(point.y))}" r="3" fill="${series.colour}"/>`),
+      ...visiblePoints.flatMap(point => point.label ? [text(toX(point.x) + 5, toY(point.y) - 6, point.label, `fill="${series.colour}" font-size="10"`)] : []),
       `<line x1="${right + 12}" y1="${legendY - 4}" x2="${right + 34}" y2="${legendY - 4}" stroke="${series.colour}" stroke-width="2"${dash}/>`,
       text(right + 40, legendY, series.name)
     ]
--- a/scripts/decisions/rushTable.ts
+++ b/scripts/decisions/rushTable.ts
@@ -4,22 +4,22 @@
 import type { RushLoad, RushMeasures, RushWay } from '../../packages/decisions/src/simulation/simulateStoreRush.js'
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8] as const
-const ASK_PERIOD_MS = 20
+const RETRY_PERIOD_MS = 20
 
-const single = (): readonly RushLoad[] => Array.from({ length: 12 }, () => ({ waitingCount: 1, priority: 5, loadMs: 15_000 }))
+const singleCallerLoads = (): readonly RushLoad[] => Array.from({ length: 12 }, () => ({ waitingCount: 1, priority: 5, loadMs: 15_000 }))
 
 const meanOf = (runs: readonly RushMeasures[], pick: (run: RushMeasures) => number): number =>
   runs.reduce((sum, run) => sum + pick(run), 0) / runs.length
 
-const rushRow = (rush: string, way: string, loads: readonly RushLoad[], how: RushWay): string => {
-  const runs = SEEDS.map(seed => simulateStoreRush(loads, how, seed))
-  const second = (pick: (run: RushMeasures) => number): string => (meanOf(runs, pick) / 1_000).toFixed(1)
-  return `| ${rush} | ${way} | ${second(run => run.meanCallerWaitMs)} | ${second(run => run.p99CallerWaitMs)} | ${second(run => run.endMs)} | ${Math.round(meanOf(runs, run => run.refusedCount))} |`
+const rushRow = (rush: string, policy: string, loads: readonly RushLoad[], options: RushWay): string => {
+  const runs = SEEDS.map(seed => simulateStoreRush(loads, options, seed))
+  const meanSeconds = (pick: (run: RushMeasures) => number): string => (meanOf(runs, pick) / 1_000).toFixed(1)
+  return `| ${rush} | ${policy} | ${meanSeconds(run => run.meanCallerWaitMs)} | ${meanSeconds(run => run.p99CallerWaitMs)} | ${meanSeconds(run => run.endMs)} | ${Math.round(meanOf(runs, run => run.refusedCount))} |`
 }
 
 const rowsOf = (rush: string, loads: readonly RushLoad[]): readonly string[] => {
   const byNeed = [...loads].sort((a, b) => b.waitingCount - a.waitingCount)
-  const central: RushWay = { backOff: () => ASK_PERIOD_MS, centralLimit: 4 }
+  const central: RushWay = { backOff: () => RETRY_PERIOD_MS, centralLimit: 4 }
   return [
     rushRow(rush, 'equal back-off (baseline)', loads, { backOff: backOffEqually }),
     rushRow(rush, 'back-off by need (figmount)', loads, { backOff: backOffByNeed }),
@@ -29,10 +29,10 @@
   ]
 }
 
-/** Ways to share the weight store without a scheduler, mean over eight seeds. */
+/** Compares ways to share the weight store without a scheduler; mean over eight seeds. */
 export const makeRushTable = (): readonly string[] => [
   '| rush | way | mean caller wait s | p99 s | last load s | refused |',
   '|---|---|---|---|---|---|',
   ...rowsOf('40 loads, two of 40 callers', shiftStart()),
-  ...rowsOf('12 loads of one caller', single())
+  ...rowsOf('12 loads of one caller', singleCallerLoads())
 ]
--- a/scripts/decisionsTable.ts
+++ b/scripts/decisionsTable.ts
@@ -3,14 +3,14 @@
 import { makeKeepAliveTable } from './decisions/keepAliveTable.js'
 import { makePatternTable } from './decisions/patternTable.js'
 import { makeRushTable } from './decisions/rushTable.js'
-import { svgChart } from './decisions/svgChart.js'
+import { renderSvgChart } from './decisions/renderSvgChart.js'
 
 import type { OutageRun } from './decisions/patternTable.js'
-import type { Chart } from './decisions/svgChart.js'
+import type { Chart } from './decisions/renderSvgChart.js'
 
 /**
- * Writes `docs/decisions/table.md` and its charts from simulations in virtual time. The output depends on the code
- * alone; with `--check` nothing is written, and the exit code says whether the committed files are current.
+ * Writes `docs/decisions/table.md` and its charts from simulations in virtual time; the output is deterministic. With
+ * `--check` it writes nothing and exits with 1 if the committed files are out of date.
  */
 const DIRECTORY = 'docs/decisions'
 const BUCKET_SECONDS = 10
@@ -28,7 +28,7 @@
   }))
 })
 
-const page = (patterns: readonly string[], keepAlive: readonly string[], rush: readonly string[]): string => [
+const renderPage = (patterns: readonly string[], keepAlive: readonly string[], rush: readonly string[]): string => [
   '# Decisions under load: the table',
   '',
   'Written by `npm run decisions:table`; virtual time, one seed, exact. "But" rows are figmount with one module put back to',
@@ -69,10 +69,10 @@
   const keepAlive = makeKeepAliveTable()
   const [consortium, carpatica] = keepAlive.charts
   return new Map([
-    ['table.md', page(patterns.lines, keepAlive.lines, makeRushTable())],
-    ['outage.svg', svgChart(outageChart(patterns.outage))],
-    ['keepalive-consortium.svg', consortium ? svgChart(consortium) : ''],
-    ['keepalive-carpatica.svg', carpatica ? svgChart(carpatica) : '']
+    ['table.md', renderPage(patterns.lines, keepAlive.lines, makeRushTable())],
+    ['outage.svg', renderSvgChart(outageChart(patterns.outage))],
+    ['keepalive-consortium.svg', consortium ? renderSvgChart(consortium) : ''],
+    ['keepalive-carpatica.svg', carpatica ? renderSvgChart(carpatica) : '']
   ])
 }
 
@@ -84,11 +84,11 @@
   }
 }
 
-const stale = [...makeFiles()].filter(([name, content]) => !isCurrent(name, content))
+const staleFiles = [...makeFiles()].filter(([name, content]) => !isCurrent(name, content))
 if (process.argv.includes('--check')) {
-  for (const [name] of stale) console.error(`${DIRECTORY}/${name} is not what the code gives; run npm run decisions:table`)
-  process.exitCode = stale.length === 0 ? 0 : 1
+  for (const [name] of staleFiles) console.error(`${DIRECTORY}/${name} is out of date: run npm run decisions:table`)
+  process.exitCode = staleFiles.length === 0 ? 0 : 1
 } else {
   mkdirSync(DIRECTORY, { recursive: true })
-  for (const [name, content] of stale) writeFileSync(`${DIRECTORY}/${name}`, content)
+  for (const [name, content] of staleFiles) writeFileSync(`${DIRECTORY}/${name}`, content)
 }
--- a/scripts/demo/intervals.ts
+++ b/scripts/demo/intervals.ts
@@ -1,10 +1,10 @@
-/** A span of time in ms, `toMs` excluded. */
+/** A period in ms; `toMs` is exclusive. */
 export interface Interval {
   readonly fromMs: number
   readonly toMs: number
 }
 
-/** Time that is covered by at least one interval. */
+/** Returns the total time covered by at least one interval. */
 export const coveredMs = (intervals: readonly Interval[]): number => {
   let totalMs = 0
   let endMs = -Infinity
--- a/scripts/demo/printReport.ts
+++ b/scripts/demo/printReport.ts
@@ -7,14 +7,14 @@
 import type { EventRecord } from '@figmount/base'
 import type { AskOutcome } from '@figmount/proof'
 
-/** An outcome with the wall-clock time at which the caller began to ask. */
+/** An outcome with the wall-clock time of the first send. */
 export interface TimedOutcome {
   readonly outcome: AskOutcome
   readonly startedAtMs: number
 }
 
-/** Events that make up the short time line. */
-const TIME_LINE: ReadonlySet<string> = new Set([
+/** Events shown in the short time line. */
+const TIME_LINE_EVENTS: ReadonlySet<string> = new Set([
   'loadStarted', 'loadFinished', 'loadFailed', 'modelUnloaded', 'listChanged', 'processExited', 'processSignalled',
   'agentLeaving', 'drainStarted', 'drainEmpty', 'drainBegun', 'configAccepted', 'announced', 'rightReleased'
 ])
@@ -28,20 +28,20 @@
   return `p50 ${histogram.getValueAtPercentile(50)} ms, p99 ${histogram.getValueAtPercentile(99)} ms (${values.length})`
 }
 
-/** The time from the first send to the first token, resends included. */
+/** Time from the first send to the first token, including resends. */
 const firstTokenMs = ({ sends, totalMs, last }: AskOutcome): number =>
   sends.length === 1 ? last.firstTokenMs : totalMs - last.totalMs + last.firstTokenMs
 
 const write = (line: string): void => { process.stdout.write(`${line}\n`) }
 
 const printCallers = (outcomes: readonly TimedOutcome[]): void => {
-  write('\nWho got what')
+  write('\nRequests by caller and model')
   const targets = new Set(outcomes.map(({ outcome: { plan } }) => `${plan.caller} ${plan.service}/${plan.model}${plan.adapter ? `+${plan.adapter}` : ''}`))
   for (const target of targets) {
-    const own = outcomes.filter(({ outcome: { plan } }) => `${plan.caller} ${plan.service}/${plan.model}${plan.adapter ? `+${plan.adapter}` : ''}` === target)
-    const answeredCount = own.filter(({ outcome }) => outcome.last.kind === 'answered').length
-    const resendCount = own.reduce((sum, { outcome }) => sum + outcome.sends.length - 1, 0)
-    write(`  ${target.padEnd(44)} asked ${String(own.length).padStart(3)}  answered ${String(answeredCount).padStart(3)}  resent ${String(resendCount).padStart(3)}`)
+    const matching = outcomes.filter(({ outcome: { plan } }) => `${plan.caller} ${plan.service}/${plan.model}${plan.adapter ? `+${plan.adapter}` : ''}` === target)
+    const answeredCount = matching.filter(({ outcome }) => outcome.last.kind === 'answered').length
+    const resendCount = matching.reduce((sum, { outcome }) => sum + outcome.sends.length - 1, 0)
+    write(`  ${target.padEnd(44)} sent ${String(matching.length).padStart(3)}  answered ${String(answeredCount).padStart(3)}  resent ${String(resendCount).padStart(3)}`)
   }
 }
 
@@ -60,13 +60,13 @@
   const startMs = events[0]?.atUnixMs ?? 0
   write('\nTime line')
   for (const event of [...events].sort((a, b) => a.atUnixMs - b.atUnixMs)) {
-    if (!TIME_LINE.has(event.name)) continue
-    const what = [event.model, event.item, event.version, event.reason, event.detail].filter(Boolean).join(' ')
-    write(`  ${((event.atUnixMs - startMs) / 1000).toFixed(2).padStart(6)} s  ${event.instance.padEnd(12)} ${event.name.padEnd(16)} ${what}`)
+    if (!TIME_LINE_EVENTS.has(event.name)) continue
+    const details = [event.model, event.item, event.version, event.reason, event.detail].filter(Boolean).join(' ')
+    write(`  ${((event.atUnixMs - startMs) / 1000).toFixed(2).padStart(6)} s  ${event.instance.padEnd(12)} ${event.name.padEnd(16)} ${details}`)
   }
 }
 
-/** Prints what a run came to and gives the broken promises, none if all held. */
+/** Prints the report of a run; returns the violated promises, empty if there are none. */
 export const printReport = (outcomes: readonly TimedOutcome[], events: readonly EventRecord[], maxReplicasOf: (model: string) => number): readonly string[] => {
   const findings = checkEngines(events)
   const isOnce = new Map(outcomes.map(({ outcome: { plan } }) => [plan.prompt, plan.repeatable === false]))
--- a/scripts/demo/readEngines.ts
+++ b/scripts/demo/readEngines.ts
@@ -5,7 +5,7 @@
 import type { EventKind, EventRecord } from '@figmount/base'
 import type { Interval } from './intervals.js'
 
-/** A span of time that belongs to a model on one engine. */
+/** A period during which a model was loading or resident, or a stream ran, on one engine. */
 export interface ModelInterval extends Interval {
   readonly model: string
   readonly instance: string
@@ -19,8 +19,8 @@
 
 const isKind = (event: EventRecord, kinds: readonly EventKind[]): boolean => kinds.some(kind => kind.number === event.number)
 
-/** Pairs the events that begin and end something; what has not ended ends with the run. */
-const intervalsBy = (events: readonly EventRecord[], rule: IntervalRule): readonly ModelInterval[] => {
+/** Pairs begin and end events; an interval without an end event ends when its process exits or with the run. */
+const pairEvents = (events: readonly EventRecord[], rule: IntervalRule): readonly ModelInterval[] => {
   const open = new Map<string, EventRecord>()
   const intervals: ModelInterval[] = []
   const close = (key: string, toMs: number): void => {
@@ -41,18 +41,18 @@
   return intervals
 }
 
-const perModel = (event: EventRecord): string => `${event.instance} ${event.model}`
-const perStream = (event: EventRecord): string => `${event.instance} ${event.attemptId}`
+const modelKey = (event: EventRecord): string => `${event.instance} ${event.model}`
+const streamKey = (event: EventRecord): string => `${event.instance} ${event.attemptId}`
 
-/** Loads that came to an end. */
-export const loadIntervals = (events: readonly EventRecord[]): readonly ModelInterval[] => intervalsBy(events, {
-  begins: [StandinEvent.loadStarted], ends: [StandinEvent.loadFinished, StandinEvent.loadFailed], keyOf: perModel
+/** Returns the intervals of all loads; one that has not ended lasts until its process exits or the run ends. */
+export const loadIntervals = (events: readonly EventRecord[]): readonly ModelInterval[] => pairEvents(events, {
+  begins: [StandinEvent.loadStarted], ends: [StandinEvent.loadFinished, StandinEvent.loadFailed], keyOf: modelKey
 })
 
-/** Seconds in which an accelerator held a model and ran nothing, over all engines. */
+/** Returns the seconds during which a model was resident on an engine and nothing ran there, summed over all engines. */
 export const idleAcceleratorSeconds = (events: readonly EventRecord[]): number => {
-  const resident = intervalsBy(events, { begins: [StandinEvent.loadFinished], ends: [StandinEvent.modelUnloaded], keyOf: perModel })
-  const running = intervalsBy(events, { begins: [StandinEvent.generateStarted], ends: [StandinEvent.generateFinished, StandinEvent.generateEnded], keyOf: perStream })
+  const resident = pairEvents(events, { begins: [StandinEvent.loadFinished], ends: [StandinEvent.modelUnloaded], keyOf: modelKey })
+  const running = pairEvents(events, { begins: [StandinEvent.generateStarted], ends: [StandinEvent.generateFinished, StandinEvent.generateEnded], keyOf: streamKey })
   const engines = new Set(resident.map(interval => interval.instance))
   let idleMs = 0
   for (const engine of engines) {
--- a/scripts/demo/readServices.ts
+++ b/scripts/demo/readServices.ts
@@ -53,7 +53,7 @@
   return { name: `service/${name}`, body: { kind, models, idleCostWeight, priorities: Object.fromEntries(priorities.map(({ name: callerKind, value }) => [callerKind, value])) } }
 }
 
-/** Reads callers and services from the demo's INI file, as changes for an operator to apply. */
+/** Reads callers and services from the demo's INI file and converts them to configuration changes. */
 export const readServices = (file: string): readonly ConfigChange[] => {
   const sections = parseSettings(servicesFile, file, readFileSync(file, 'utf8')).unsafeCoerce()
   return [
--- a/scripts/experiments/deployments.ts
+++ b/scripts/experiments/deployments.ts
@@ -1,4 +1,4 @@
-/** The two deployments of today, scaled down in time: one second of the experiment stands for about a minute. */
+/** The two current deployments, scaled in time: one second of an experiment stands for about a minute. */
 import { callerItem, modelService } from '@figmount/proof'
 
 import type { AgentPlan, ConfigChange, RouterPlan, SitePlan } from '@figmount/proof'
@@ -21,11 +21,11 @@
   readonly callerKinds: readonly string[]
 }
 
-/** A runner holds three to four models, so that about a third of the models are resident at once. */
+/** Memory of an agent's engine: three to four models, so that about a third of all models are resident at once. */
 const MEMORY_CAPACITY_MB = 64_000
 const MODEL_SIZES_MB = [12_000, 16_000, 20_000, 24_000] as const
 const ADAPTER_MB = 400
-/** A model of 16 GB comes from the store in 0.8 s when fewer than five loads run. */
+/** The store transfers a model of 16 GB in 0.8 s while fewer than five loads run. */
 const TRANSFER_MB_PER_SECOND = 20_000
 const FULL_SPEED_COUNT = 4
 
@@ -57,13 +57,13 @@
   callerKinds: ['safety', 'foreman', 'manager']
 }
 
-/** A site to start and the configuration to apply to it. */
+/** A site and the configuration to apply to it. */
 export interface Deployment {
   readonly site: SitePlan
   readonly changes: readonly ConfigChange[]
 }
 
-const cyclic = <T>(values: readonly [T, ...T[]], index: number): T => values[index % values.length] ?? values[0]
+const cyclicItem = <T>(values: readonly [T, ...T[]], index: number): T => values[index % values.length] ?? values[0]
 
 const adaptersOf = (service: ServiceShape, modelIndex: number): ReadonlyArray<{ readonly name: string, readonly memoryMb: number }> => {
   const adapters: Array<{ readonly name: string, readonly memoryMb: number }> = []
@@ -75,8 +75,8 @@
   const models = Array.from({ length: service.modelCount }, (_, index) => ({
     name: `m${index}`,
     maxReplicas: index === 0 ? 3 : index < 4 ? 2 : 1,
-    memoryMb: cyclic(MODEL_SIZES_MB, index),
-    checkpointMb: cyclic(MODEL_SIZES_MB, index),
+    memoryMb: cyclicItem(MODEL_SIZES_MB, index),
+    checkpointMb: cyclicItem(MODEL_SIZES_MB, index),
     adapters: adaptersOf(service, index)
   }))
   const { name, body } = modelService(service.name, models, shape.priorities)
@@ -94,7 +94,7 @@
     backendKeys: { memory_capacity_mb: MEMORY_CAPACITY_MB, memory_tier_mb: 0, disk_tier_mb: 60_000 }
   })))
 
-const deploy = (shape: DeploymentShape): Deployment => ({
+const makeDeployment = (shape: DeploymentShape): Deployment => ({
   site: {
     name: shape.name,
     routers: routersOf(shape),
@@ -104,8 +104,8 @@
   changes: [...shape.callerKinds.map(kind => callerItem(kind, kind)), ...shape.services.map(configOf(shape))]
 })
 
-/** Deployments by the name of their experiment file. */
+/** Deployments by name, which is also that of the experiment file. */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = {
-  consortium: deploy(CONSORTIUM),
-  carpatica: deploy(CARPATICA)
+  consortium: makeDeployment(CONSORTIUM),
+  carpatica: makeDeployment(CARPATICA)
 }
--- a/scripts/experiments/measureAccelerators.ts
+++ b/scripts/experiments/measureAccelerators.ts
@@ -2,13 +2,13 @@
 
 const MS_PER_SECOND = 1000
 
-/** What a run cost in accelerator time and loads. */
+/** Accelerator time and loads of a run. */
 export interface AcceleratorUse {
   readonly loadCount: number
   readonly loadSeconds: number
-  /** Time that models lay ready, summed over replicas. */
+  /** Time during which models were resident, summed over replicas. */
   readonly residentSeconds: number
-  /** Part of it in which the replica ran nothing. */
+  /** The part of it during which the replica ran nothing. */
   readonly idleSeconds: number
   readonly slowestLoadMs: number
 }
@@ -22,7 +22,7 @@
 
 const keyOf = (instance: string, model: string): string => `${instance}\u0000${model}`
 
-/** Sums the use of accelerators from the engines' own events; replicas still resident count until the last event. */
+/** Sums accelerator use from the engines' events; replicas still resident are counted until the last event. */
 export const measureAccelerators = (events: readonly TimedEvent[]): AcceleratorUse => {
   const endMs = events.at(-1)?.atMs ?? 0
   const loading = new Map<string, number>()
@@ -33,7 +33,7 @@
   let residentMs = 0
   let idleMs = 0
 
-  const end = (key: string, atMs: number): void => {
+  const endResidence = (key: string, atMs: number): void => {
     const replica = replicas.get(key)
     if (!replica) return
     const busyMs = replica.busyMs + (replica.runningCount > 0 ? atMs - replica.busySinceMs : 0)
@@ -46,12 +46,12 @@
     const replica = replicas.get(key)
     if (!replica) return
     const runningCount = Math.max(0, replica.runningCount + by)
-    const ended = replica.runningCount > 0 && runningCount === 0
+    const isNowIdle = replica.runningCount > 0 && runningCount === 0
     replicas.set(key, {
       ...replica,
       runningCount,
       busySinceMs: replica.runningCount === 0 ? atMs : replica.busySinceMs,
-      busyMs: ended ? replica.busyMs + atMs - replica.busySinceMs : replica.busyMs
+      busyMs: isNowIdle ? replica.busyMs + atMs - replica.busySinceMs : replica.busyMs
     })
   }
 
@@ -65,11 +65,11 @@
       slowestLoadMs = Math.max(slowestLoadMs, tookMs)
       replicas.set(key, { readyAtMs: atMs, runningCount: 0, busySinceMs: 0, busyMs: 0 })
     }
-    if (event.name === 'modelUnloaded') end(key, atMs)
+    if (event.name === 'modelUnloaded') endResidence(key, atMs)
     if (event.name === 'generateStarted') changeRunning(key, 1, atMs)
     if (event.name === 'generateFinished' || event.name === 'generateEnded') changeRunning(key, -1, atMs)
   }
-  for (const key of [...replicas.keys()]) end(key, endMs)
+  for (const key of [...replicas.keys()]) endResidence(key, endMs)
   return {
     loadCount,
     loadSeconds: loadMs / MS_PER_SECOND,
--- a/scripts/measureCapacity.ts
+++ b/scripts/measureCapacity.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes of the capacity page and writes them to a file; parts may be named to measure only these. */
+/** Measures the slopes for the capacity page and writes them to a file. Arguments select parts; without any, all are measured. */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs'
 
 import { measureInForce } from '../packages/capacity/src/measuring/measureInForce.js'
@@ -19,11 +19,11 @@
   inForce: measureInForce
 }
 
-const wanted = process.argv.slice(2)
-const known: readonly Measurement[] = existsSync(FILE) ? JSON.parse(readFileSync(FILE, 'utf8')) as Measurement[] : []
-const byName = new Map(known.map(measurement => [measurement.name, measurement]))
+const selectedParts = process.argv.slice(2)
+const earlier: readonly Measurement[] = existsSync(FILE) ? JSON.parse(readFileSync(FILE, 'utf8')) as Measurement[] : []
+const byName = new Map(earlier.map(measurement => [measurement.name, measurement]))
 for (const [part, measure] of Object.entries(PARTS)) {
-  if (wanted.length > 0 && !wanted.includes(part)) continue
+  if (selectedParts.length > 0 && !selectedParts.includes(part)) continue
   for (const measurement of await measure()) {
     byName.set(measurement.name, measurement)
     process.stdout.write(`${measurement.name} ${measurement.unit}: ${measurement.points.map(({ size, value }) => `${size}→${value.toFixed(1)}`).join(' ')}\n`)
--- a/scripts/renderEventsPage.ts
+++ b/scripts/renderEventsPage.ts
@@ -23,7 +23,7 @@
 \`clock\` (a Lamport clock) and \`atUnixMs\`, and whatever of the fields in \`packages/base/src/events/types.ts\` applies.
 `
 
-/** The page for docs/EVENTS.md. */
+/** Renders docs/EVENTS.md. */
 export const renderEventsPage = (kinds: readonly EventKind[]): string => {
   const lines: string[] = [INTRODUCTION.trimEnd()]
   let range = -1
--- a/scripts/runTests.ts
+++ b/scripts/runTests.ts
@@ -1,10 +1,10 @@
-/** Runs the unit tests or the proofs with mocha. Tests named in KNOWN-RED.txt are passed over and printed. */
+/** Runs the unit tests or the proofs with mocha. Tests listed in KNOWN-RED.txt are printed and skipped. */
 import { spawnSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt'
 
-/** Take-overs come first in the proofs: each waits out the time of a void. */
+/** Takeover tests run first: each waits for the time that must pass between the void of an instance's rights and a new grant. */
 const SUITES: Readonly<Record<string, readonly string[]>> = {
   unit: ['packages/!(proof)/src/**/*.test.ts', 'platform/src/*.test.ts'],
   proof: [
@@ -18,16 +18,16 @@
 
 const escape = (text: string): string => text.replace(/[.*+?^${}()|[\]\\]/g, '\\$&')
 
-/** Full titles of the tests that are known to fail: the first field of each line, fields parted by ` | `. */
+/** Reads the full titles of tests that are known to fail: the first field of each line; fields are separated by ` | `. */
 const readKnownRed = (): readonly string[] => {
   const lines = readFileSync(KNOWN_RED_FILE, 'utf8').split('\n').filter(line => line.trim() !== '')
-  for (const line of lines) process.stdout.write(`known red, passed over: ${line}\n`)
+  for (const line of lines) process.stdout.write(`skipped, known to fail: ${line}\n`)
   return lines.map(line => line.split(' | ')[0]?.trim() ?? '')
 }
 
 const suite = SUITES[process.argv[2] ?? '']
-if (!suite) throw new Error(`no such tests: ${process.argv[2]}; there are ${Object.keys(SUITES).join(', ')}`)
+if (!suite) throw new Error(`test suite "${process.argv[2]}" does not exist, expected one of ${Object.keys(SUITES).join(', ')}`)
 const knownRed = readKnownRed()
-const passOver = knownRed.length === 0 ? [] : ['--grep', `^(${knownRed.map(escape).join('|')})$`, '--invert']
-const run = spawnSync('npx', ['mocha', '--import=tsx', ...passOver, ...suite], { stdio: 'inherit' })
+const excludeArguments = knownRed.length === 0 ? [] : ['--grep', `^(${knownRed.map(escape).join('|')})$`, '--invert']
+const run = spawnSync('npx', ['mocha', '--import=tsx', ...excludeArguments, ...suite], { stdio: 'inherit' })
 process.exit(run.status ?? 1)
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,4 +1,4 @@
-/** Plays fault soaks by hand: `npm run soak -- FIRST_SEED COUNT [FAULTS [STOPS]]`. Prints a line for each and ends with 1 if a promise broke. */
+/** Runs fault soaks: `npm run soak -- FIRST_SEED COUNT [FAULTS [STOPS]]`. Prints one line per seed; exits with 1 if a promise was broken. */
 import { runSoak } from '../platform/src/soak/runSoak.js'
 
 const DEFAULT_FAULTS = 20
--- a/scripts/writeCapacityPage.ts
+++ b/scripts/writeCapacityPage.ts
@@ -1,4 +1,4 @@
-/** Works out docs/CAPACITY.md from the file of measurements and the page on sweeps; with `--check` only compares. */
+/** Writes docs/CAPACITY.md from the measurements and the page on sweeps; with `--check` it only compares. */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { fitSlope, renderPage } from '@figmount/capacity'
 
@@ -12,7 +12,7 @@
 const page = renderPage(measurements.map(measurement => fitSlope(measurement).unsafeCoerce()), readFileSync(PLATFORM, 'utf8'))
 if (process.argv.includes('--check')) {
   if (readFileSync(PAGE, 'utf8') !== page) {
-    process.stderr.write(`${PAGE} is not what ${MEASUREMENTS} and ${PLATFORM} give: run npm run capacity:page\n`)
+    process.stderr.write(`${PAGE} does not match ${MEASUREMENTS} and ${PLATFORM}: run npm run capacity:page\n`)
     process.exit(1)
   }
   process.stdout.write(`${PAGE} is current\n`)
--- a/scripts/writeEventsPage.ts
+++ b/scripts/writeEventsPage.ts
@@ -1,4 +1,4 @@
-/** Writes docs/EVENTS.md from the catalogues in the code; with `--check` only compares. */
+/** Writes docs/EVENTS.md from the event catalogues; with `--check` it only compares. */
 import { readFileSync, writeFileSync } from 'node:fs'
 
 import { readCatalogues } from './readCatalogues.js'
@@ -9,7 +9,7 @@
 const page = renderEventsPage(await readCatalogues())
 if (process.argv.includes('--check')) {
   if (readFileSync(PAGE, 'utf8') !== page) {
-    process.stderr.write(`${PAGE} differs from the catalogues: run npm run docs:events\n`)
+    process.stderr.write(`${PAGE} does not match the event catalogues: run npm run docs:events\n`)
     process.exit(1)
   }
   process.stdout.write(`${PAGE} is current\n`)
