--- a/packages/base/src/timers/createTimerService.ts
+++ b/packages/base/src/timers/createTimerService.ts
@@ -34,7 +34,7 @@
       const timer = setTimeout(fire, delayMs).unref()
       return () => clearTimeout(timer)
     },
-    // Subscribers with the same period share ticks: with separate timers, hundreds of links would wake the process hundreds of times a second.
+    // Subscribers with the same period share ticks: separate timers for hundreds of links would wake the process hundreds of times a second.
     every: (periodMs, fire) => {
       const interval = intervals.get(periodMs) ?? startInterval(periodMs)
       const subscriber = (): void => { fire() }
--- a/scripts/benchDecisions.ts
+++ b/scripts/benchDecisions.ts
@@ -103,7 +103,7 @@
 for (const size of [10, 100, 1_000]) {
   const queue = makeList(size, makeWaiting)
   let fairness = noFairness
-  for (const request of queue) fairness = accountDecayed(fairness, request, 100, 10)
+  for (const waiting of queue) fairness = accountDecayed(fairness, waiting, 100, 10)
   report('order of service', 'waiting', size, () => pickFairShare(queue, fairness, 10))
   report('work ahead', 'waiting', size, () => fairAhead(queue, queue[0]!, fairness, 10))
   report('accounting', 'waiting', size, () => accountDecayed(fairness, queue[0]!, 100, 10))
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -73,7 +73,7 @@
 }
 
 const runDemo = async (site: Site): Promise<readonly TimedOutcome[]> => {
-  log('a burst of 40 requests for an unloaded model at both routers, and one for another service')
+  log('a burst of 40 requests for an unloaded model at both routers, and a burst for another service')
   const cold = await Promise.all([
     sendBurst(site, 40, { caller: 'crew', service: 'reader-models', model: 'cracks' }),
     sendBurst(site, 8, { caller: 'clerk', service: 'survey-app', model: 'summary' })
