--- a/packages/ctl/src/bin.ts
+++ b/packages/ctl/src/bin.ts
@@ -2,7 +2,7 @@
 import { createInterface } from 'node:readline/promises'
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
-import { createTimerService, describeFault, describeSettingsFault, ExitCode, loadSettings, stayAwake, VERSION } from '@figmount/base'
+import { createTimerService, describeFault, describeSettingsFault, ExitCode, loadSettings, keepProcessAlive, VERSION } from '@figmount/base'
 
 import { explainFromFiles } from './commands/explainFromFiles.js'
 import { runApply } from './commands/runApply.js'
@@ -57,7 +57,7 @@
 }
 
 // Every command exits the process explicitly.
-stayAwake()
+keepProcessAlive()
 
 await yargs(hideBin(process.argv))
   .scriptName('figmountctl')
--- a/packages/load/src/bin.ts
+++ b/packages/load/src/bin.ts
@@ -2,7 +2,7 @@
 import { createWriteStream, readFileSync, writeFileSync } from 'node:fs'
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
-import { createEventLog, createTimerService, describeSettingsFault, ExitCode, stayAwake, VERSION } from '@figmount/base'
+import { createEventLog, createTimerService, describeSettingsFault, ExitCode, keepProcessAlive, VERSION } from '@figmount/base'
 import { renderTable } from '@figmount/ctl'
 
 import { loadExperiment } from './experiment/parseExperiment.js'
@@ -63,7 +63,7 @@
 const checkTokens: CheckTokens = (...answer) => !args.standinTokens || checkStandinTokens(...answer)
 
 // figmount's timers do not keep the process alive, and between two requests nothing else is pending.
-stayAwake()
+keepProcessAlive()
 
 const stop = new AbortController()
 process.once('SIGINT', () => stop.abort())
