--- a/packages/records/src/proposals/findRevokes.ts
+++ b/packages/records/src/proposals/findRightsToRevoke.ts
@@ -6,7 +6,7 @@
 import type { AgreedState } from '../fold/types.js'
 import type { RightState } from '../rights/types.js'
 
-/** What a target allows; a target that is not in force allows nothing. */
+/** The rights that a target may have; a target without configuration in force may have none. */
 interface Allowance {
   readonly service: ServiceName
   readonly hasKeys: boolean
@@ -25,7 +25,7 @@
 
 const canHolderKeep = (state: AgreedState, right: RightState, allowance: Allowance, leaving: ReadonlySet<InstanceName>): boolean => {
   const holder = state.agents.get(right.holder)
-  // A holder that is gone can't release; its rights wait for a void.
+  // A holder that is gone can't release a right; only a void frees it.
   if (!holder || holder.gone) return true
   if (holder.draining || leaving.has(right.holder)) return false
   if (!holder.services.includes(allowance.service)) return false
@@ -33,19 +33,19 @@
 }
 
 /**
- * Granted rights that are to be given up: their model is retired or may have fewer replicas now,
- * or their holder drains, leaves, no longer serves the service or has become too small.
+ * Finds the granted rights that must be revoked: their model is retired or its maximum number of replicas
+ * was lowered, or their holder drains, leaves, no longer serves the service or lacks the memory.
  */
-export const findRevokes = (state: AgreedState, leaving: ReadonlySet<InstanceName>): readonly RightState[] => {
-  const revokes: RightState[] = []
+export const findRightsToRevoke = (state: AgreedState, leaving: ReadonlySet<InstanceName>): readonly RightState[] => {
+  const rightsToRevoke: RightState[] = []
   for (const [target, { replicas, keys }] of indexRights(state)) {
     const allowance = allowanceOf(state, target)
-    const mustGo = (right: RightState, isAllowed: boolean): boolean =>
+    const mustRevoke = (right: RightState, isAllowed: boolean): boolean =>
       right.status === 'granted' && !(isAllowed && canHolderKeep(state, right, allowance, leaving))
     for (const [slotIndex, right] of replicas) {
-      if (mustGo(right, slotIndex < allowance.slotCount)) revokes.push(right)
+      if (mustRevoke(right, slotIndex < allowance.slotCount)) rightsToRevoke.push(right)
     }
-    if (keys && mustGo(keys, allowance.hasKeys)) revokes.push(keys)
+    if (keys && mustRevoke(keys, allowance.hasKeys)) rightsToRevoke.push(keys)
   }
-  return revokes
+  return rightsToRevoke
 }
--- a/packages/records/src/proposals/proposeMoves.test.ts
+++ b/packages/records/src/proposals/proposeMoves.test.ts
@@ -2,7 +2,7 @@
 
 import { proposeMoves } from './proposeMoves.js'
 import { proposeRights } from './proposeRights.js'
-import { sumPromised } from './sumPromised.js'
+import { sumPromisedMemory } from './sumPromisedMemory.js'
 import { emptyState } from '../fold/emptyState.js'
 import { foldRecords } from '../fold/foldRecords.js'
 import { rightIdOf } from '../rights/rightId.js'
@@ -36,8 +36,8 @@
   }))
 })
 
-/** Grants everything with only some agents up, as a site does before it grows. */
-const crowded = (modelCount: number, memoryMb: number, present: readonly string[]): AgreedState => {
+/** Grants all rights while only some agents are up, as on a site before more runners are added. */
+const grantAllTo = (modelCount: number, memoryMb: number, present: readonly string[]): AgreedState => {
   const state = fold(emptyState, [setConfig('service/reader', 0, service(modelCount, memoryMb)), ...present.map(agent)])
   return fold(state, proposeRights(state, listed(present), facts, DAY_MS))
 }
@@ -49,12 +49,12 @@
     return [{ ...record, kind: 'right.release', recordId: `x${counter++}`, writer: right?.holder, writerIncarnation: 'i1' } as unknown as LogRecord]
   })
 
-interface Settled {
+interface StableState {
   readonly state: AgreedState
   readonly moveCount: number
 }
 
-const settle = (start: AgreedState): Settled => {
+const moveUntilStable = (start: AgreedState): StableState => {
   let state = start
   let moveCount = 0
   for (let round = 0; round < ROUND_LIMIT; round += 1) {
@@ -65,34 +65,34 @@
     const freed = fold(revoked, release(revoked, moves))
     state = fold(freed, proposeRights(freed, listed(AGENTS), facts, DAY_MS))
   }
-  throw new Error('moves do not come to an end')
+  throw new Error('moves are still proposed after the last round')
 }
 
 describe('moves of slots', () => {
-  // An operator adds two runners to a full site. All slots were granted before they came up:
-  // two agents evict and reload all day, and the new ones stand empty.
-  it('go to agents that came up after all slots were granted, and come to an end', () => {
-    const grown = fold(crowded(20, 20, ['a1', 'a2']), [agent('a3'), agent('a4')])
-    expect(Math.max(...sumPromised(grown).values())).to.equal(200)
-    const { state, moveCount } = settle(grown)
-    expect([...sumPromised(state).values()]).to.deep.equal([100, 100, 100, 100])
+  // An operator adds two runners to a full site after all slots were granted. Without moves, two agents
+  // would constantly evict and reload models while the new ones stay empty.
+  it('go to agents that came up after all slots were granted, and terminate', () => {
+    const grown = fold(grantAllTo(20, 20, ['a1', 'a2']), [agent('a3'), agent('a4')])
+    expect(Math.max(...sumPromisedMemory(grown).values())).to.equal(200)
+    const { state, moveCount } = moveUntilStable(grown)
+    expect([...sumPromisedMemory(state).values()]).to.deep.equal([100, 100, 100, 100])
     expect(moveCount).to.equal(10)
   })
 
-  it('leave slots alone that all fit', () => {
-    const state = fold(crowded(8, 20, ['a1', 'a2']), [agent('a3'), agent('a4')])
+  it('are not proposed while all slots fit', () => {
+    const state = fold(grantAllTo(8, 20, ['a1', 'a2']), [agent('a3'), agent('a4')])
     expect(proposeMoves(state, listed(AGENTS), facts)).to.deep.equal([])
   })
 
-  it('wait until every slot is granted', () => {
-    const state = fold(crowded(20, 20, ['a1', 'a2']), [agent('a3')])
+  it('are not proposed until every slot is granted', () => {
+    const state = fold(grantAllTo(20, 20, ['a1', 'a2']), [agent('a3')])
     const moves = proposeMoves(state, listed(AGENTS), facts)
     expect(moves).to.have.length(4)
     expect(proposeMoves(fold(state, moves), listed(AGENTS), facts)).to.deep.equal([])
   })
 
-  it('take slots that are not loaded first', () => {
-    const state = fold(crowded(20, 20, ['a1', 'a2']), [agent('a3')])
+  it('prefer slots that are not loaded', () => {
+    const state = fold(grantAllTo(20, 20, ['a1', 'a2']), [agent('a3')])
     const coldModels = new Set(['reader/m4', 'reader/m7', 'reader/m11', 'reader/m13'])
     const moves = proposeMoves(state, listed(AGENTS), { ...facts, isLoaded: (_, target) => !coldModels.has(target) })
     const targets = moves.map(move => move.kind === 'right.revoke' && move.right.target)
--- a/packages/records/src/proposals/proposeMoves.ts
+++ b/packages/records/src/proposals/proposeMoves.ts
@@ -1,7 +1,7 @@
 import { chooseHolder } from './chooseHolder.js'
-import { MOVE_BATCH, MOVE_MIN_GAIN } from './constants.js'
+import { MAX_MOVES_PER_ROUND, MIN_MOVE_GAIN } from './constants.js'
 import { findCandidates } from './findCandidates.js'
-import { sumPromised } from './sumPromised.js'
+import { sumPromisedMemory } from './sumPromisedMemory.js'
 import { findService, listServices, modelsOfService } from '../config/selectors.js'
 import { findReplicaRights } from '../rights/selectors.js'
 
@@ -13,28 +13,28 @@
 import type { RightState } from '../rights/types.js'
 import type { Candidates, ListedInstance, MoveFacts } from './types.js'
 
-/** A slot that could go to a less pressed agent. */
+/** A slot and the agent that it could move to. */
 interface Move {
   readonly right: RightState
   readonly from: AgentFacts
   readonly to: AgentFacts
   readonly memoryMb: number
   readonly isLoaded: boolean
-  /** By how much the pressure on the donor exceeds the pressure on the receiver after the move. */
+  /** The donor's memory pressure before the move minus the receiver's after it. */
   readonly gain: number
 }
 
 type Promised = Map<InstanceName, number>
 
-/** Memory promised at an agent as a multiple of its capacity; above 1 its slots contend. */
-const pressureOf = (promised: Promised, agent: AgentFacts): number =>
+/** Promised memory of an agent as a multiple of its capacity; above 1 its models do not all fit at once. */
+const memoryPressureOf = (promised: Promised, agent: AgentFacts): number =>
   agent.memoryCapacityMb === 0 ? 0 : (promised.get(agent.instance) ?? 0) / agent.memoryCapacityMb
 
-const isSettled = (state: AgreedState, service: ServiceName, candidates: Candidates): boolean => {
+const areAllSlotsGranted = (state: AgreedState, service: ServiceName, candidates: Candidates): boolean => {
   for (const [target, model] of modelsOfService(state, service)) {
     const granted = findReplicaRights(state, target).filter(right => right.status === 'granted')
-    const fit = candidates.filter(agent => agent.memoryCapacityMb >= model.memoryMb)
-    if (granted.length < Math.min(model.maxReplicas, fit.length)) return false
+    const eligible = candidates.filter(agent => agent.memoryCapacityMb >= model.memoryMb)
+    if (granted.length < Math.min(model.maxReplicas, eligible.length)) return false
   }
   return true
 }
@@ -43,22 +43,22 @@
   state: AgreedState, right: RightState, model: ModelSpec, candidates: Candidates, promised: Promised, facts: MoveFacts
 ): Move | undefined => {
   const from = state.agents.get(right.holder)
-  if (!from || pressureOf(promised, from) <= 1) return undefined
+  if (!from || memoryPressureOf(promised, from) <= 1) return undefined
   const target = right.key.target
-  const others = findReplicaRights(state, target)
+  const otherHolders = findReplicaRights(state, target)
     .filter(other => other.id !== right.id && other.status !== 'free')
     .map(other => state.agents.get(other.holder))
     .filter(agent => agent !== undefined)
   const { memoryMb } = model
-  const without = new Map(promised).set(from.instance, (promised.get(from.instance) ?? 0) - memoryMb)
-  const to = chooseHolder({ target, memoryMb, candidates, holders: others, promised: without })
+  const promisedWithoutSlot = new Map(promised).set(from.instance, (promised.get(from.instance) ?? 0) - memoryMb)
+  const to = chooseHolder({ target, memoryMb, candidates, holders: otherHolders, promised: promisedWithoutSlot })
   if (!to || to.instance === from.instance) return undefined
-  const receiving = new Map(without).set(to.instance, (without.get(to.instance) ?? 0) + memoryMb)
-  const gain = pressureOf(promised, from) - pressureOf(receiving, to)
-  return gain < MOVE_MIN_GAIN ? undefined : { right, from, to, memoryMb, isLoaded: facts.isLoaded(from.instance, target), gain }
+  const promisedAfterMove = new Map(promisedWithoutSlot).set(to.instance, (promisedWithoutSlot.get(to.instance) ?? 0) + memoryMb)
+  const gain = memoryPressureOf(promised, from) - memoryPressureOf(promisedAfterMove, to)
+  return gain < MIN_MOVE_GAIN ? undefined : { right, from, to, memoryMb, isLoaded: facts.isLoaded(from.instance, target), gain }
 }
 
-// A slot that is not loaded moves for free; among equals the one that evens out most goes first.
+// Moving a slot that is not loaded costs no load, so those go first; among equals the move with the largest gain wins.
 const isBetter = (move: Move, best: Move | undefined): boolean => {
   if (!best) return true
   if (move.isLoaded !== best.isLoaded) return best.isLoaded
@@ -77,11 +77,11 @@
   return best
 }
 
-const moveWithin = (state: AgreedState, service: ServiceName, candidates: Candidates, facts: MoveFacts): readonly NewRecord[] => {
-  const promised = sumPromised(state)
+const proposeServiceMoves = (state: AgreedState, service: ServiceName, candidates: Candidates, facts: MoveFacts): readonly NewRecord[] => {
+  const promised = sumPromisedMemory(state)
   const moved = new Set<ModelId>()
   const records: NewRecord[] = []
-  while (records.length < MOVE_BATCH) {
+  while (records.length < MAX_MOVES_PER_ROUND) {
     const move = findBestMove(state, service, candidates, promised, facts, moved)
     if (!move) return records
     records.push({ kind: 'right.revoke', right: move.right.key, fence: move.right.fence })
@@ -93,19 +93,18 @@
 }
 
 /**
- * Revokes of slots that would contend for memory less elsewhere. Load pattern: several routers grant
- * the slots of a new configuration at the same moment, each unaware of the others' grants, or an
- * instance joins when all slots are granted. Without it some agents evict and reload all the time
- * while others stand empty. Only slots on an agent whose slots do not all fit are moved, one round
- * after another, each time lowering the highest pressure by at least MOVE_MIN_GAIN, so it comes to
- * an end. A service with a slot on the move or still to be granted is left alone.
+ * Proposes revokes that move slots from agents with overcommitted memory to less loaded ones. Overcommitment
+ * arises when several routers grant the slots of a new configuration at the same moment, unaware of each
+ * other, or when an instance joins after all slots were granted: some agents then constantly evict and
+ * reload models while others stay empty. Only agents whose slots do not all fit give slots up, and every move
+ * gains at least MIN_MOVE_GAIN, so moving terminates. A service that has ungranted or moving slots is skipped.
  */
 export const proposeMoves = (state: AgreedState, instances: readonly ListedInstance[], facts: MoveFacts): readonly NewRecord[] => {
   const records: NewRecord[] = []
   for (const service of listServices(state)) {
     if (findService(state, service)?.kind === 'plain' || !facts.mayPropose(`moves:${service}`)) continue
     const candidates = findCandidates(state, instances, service)
-    if (isSettled(state, service, candidates)) records.push(...moveWithin(state, service, candidates, facts))
+    if (areAllSlotsGranted(state, service, candidates)) records.push(...proposeServiceMoves(state, service, candidates, facts))
   }
   return records
 }
--- a/packages/records/src/proposals/proposeRights.ts
+++ b/packages/records/src/proposals/proposeRights.ts
@@ -1,8 +1,8 @@
 import { chooseHolder } from './chooseHolder.js'
-import { PROPOSAL_BATCH } from './constants.js'
+import { MAX_PROPOSALS_PER_ROUND } from './constants.js'
 import { groupCandidates } from './findCandidates.js'
-import { findRevokes } from './findRevokes.js'
-import { sumPromised } from './sumPromised.js'
+import { findRightsToRevoke } from './findRightsToRevoke.js'
+import { sumPromisedMemory } from './sumPromisedMemory.js'
 import { findService, listServices, modelsOfService } from '../config/selectors.js'
 import { indexRights, noTargetRights } from '../rights/indexRights.js'
 
@@ -13,30 +13,30 @@
 import type { ModelSpec } from '../config/types.js'
 import type { TargetRights } from '../rights/indexRights.js'
 import type { RightState } from '../rights/types.js'
-import type { Candidates, ListedInstance, OpenRight, ProposalFacts } from './types.js'
+import type { Candidates, ListedInstance, GrantableRight, ProposalFacts } from './types.js'
 
-/** What one round has decided so far. */
+/** Progress of one proposal round. */
 interface Round {
   readonly state: AgreedState
   readonly nowMs: number
   readonly facts: ProposalFacts
   readonly maxCount: number
   readonly records: NewRecord[]
-  /** Summed up only when a slot is open: most rounds have nothing to grant. */
+  /** Computed only when a slot can be granted: most rounds grant none. */
   promised: Map<InstanceName, number> | undefined
 }
 
 const isFull = (round: Round): boolean => round.records.length >= round.maxCount
 
-const isOpen = (round: Round, right: RightState | undefined): boolean =>
+const isGrantable = (round: Round, right: RightState | undefined): boolean =>
   !right || (right.status === 'free' && right.grantableFromMs <= round.nowMs)
 
-const promisedIn = (round: Round): Map<InstanceName, number> => {
-  round.promised ??= sumPromised(round.state)
+const promisedMemoryOf = (round: Round): Map<InstanceName, number> => {
+  round.promised ??= sumPromisedMemory(round.state)
   return round.promised
 }
 
-const grant = (round: Round, { key, current, memoryMb }: OpenRight, agent: AgentFacts): void => {
+const grant = (round: Round, { key, current, memoryMb }: GrantableRight, agent: AgentFacts): void => {
   round.records.push({
     kind: 'right.grant',
     right: key,
@@ -45,7 +45,7 @@
     expectedFence: current?.fence ?? 0
   })
   if (memoryMb === 0) return
-  const promised = promisedIn(round)
+  const promised = promisedMemoryOf(round)
   promised.set(agent.instance, (promised.get(agent.instance) ?? 0) + memoryMb)
 }
 
@@ -53,7 +53,7 @@
   round.records.push({ kind: 'right.revoke', right: right.key, fence: right.fence })
 }
 
-// A slot that is being given up still takes its place: its holder may have the model loaded.
+// A holder of a revoked slot still counts: it may have the model loaded.
 const findHolders = (state: AgreedState, { replicas }: TargetRights): readonly AgentFacts[] => {
   const holders: AgentFacts[] = []
   for (const right of replicas.values()) {
@@ -63,19 +63,19 @@
   return holders
 }
 
-const findOpenSlots = (round: Round, target: ModelId, { replicas }: TargetRights, model: ModelSpec): readonly OpenRight[] => {
-  const open: OpenRight[] = []
+const findGrantableSlots = (round: Round, target: ModelId, { replicas }: TargetRights, model: ModelSpec): readonly GrantableRight[] => {
+  const grantable: GrantableRight[] = []
   for (let slotIndex = 0; slotIndex < model.maxReplicas; slotIndex += 1) {
     const current = replicas.get(slotIndex)
-    if (isOpen(round, current)) open.push({ key: { kind: 'replica', target, slotIndex }, current, memoryMb: model.memoryMb })
+    if (isGrantable(round, current)) grantable.push({ key: { kind: 'replica', target, slotIndex }, current, memoryMb: model.memoryMb })
   }
-  return open
+  return grantable
 }
 
 const grantKeys = (round: Round, target: ModelId, rights: TargetRights, candidates: Candidates, holders: readonly AgentFacts[]): void => {
   const current = rights.keys
-  if (isFull(round) || !isOpen(round, current) || !round.facts.mayPropose(target)) return
-  // The holder of a slot decides on its own runs without asking anybody else.
+  if (isFull(round) || !isGrantable(round, current) || !round.facts.mayPropose(target)) return
+  // Preferred because the holder of a slot can permit its own runs without a request to another agent.
   const holder = holders.find(agent => candidates.includes(agent)) ??
     chooseHolder({ target, memoryMb: 0, candidates, holders: [], promised: new Map() })
   if (holder) grant(round, { key: { kind: 'keys', target }, current, memoryMb: 0 }, holder)
@@ -83,13 +83,13 @@
 
 const grantModel = (round: Round, target: ModelId, model: ModelSpec, candidates: Candidates): void => {
   const rights = indexRights(round.state).get(target) ?? noTargetRights
-  const open = findOpenSlots(round, target, rights, model)
-  if (open.length === 0 && !isOpen(round, rights.keys)) return
+  const grantable = findGrantableSlots(round, target, rights, model)
+  if (grantable.length === 0 && !isGrantable(round, rights.keys)) return
   const holders = [...findHolders(round.state, rights)]
-  if (open.length > 0 && round.facts.mayPropose(target)) {
-    for (const right of open) {
+  if (grantable.length > 0 && round.facts.mayPropose(target)) {
+    for (const right of grantable) {
       if (isFull(round)) return
-      const holder = chooseHolder({ target, memoryMb: model.memoryMb, candidates, holders, promised: promisedIn(round) })
+      const holder = chooseHolder({ target, memoryMb: model.memoryMb, candidates, holders, promised: promisedMemoryOf(round) })
       if (!holder) break
       grant(round, right, holder)
       holders.push(holder)
@@ -110,28 +110,27 @@
 }
 
 /**
- * The records that a router proposes now: revokes of rights that have to move or go, then grants
- * of every free slot up to `maxReplicas` and of one keys right for each model and plain service.
- * Rights stay where they are while their holder merely restarts. `nowMs` is log time or a Unix
- * clock close to it; a grant that comes too early is ignored by the fold and proposed again.
- * At most `facts.maxCount` records; the caller waits for them to be read back before the next round.
+ * Proposes revokes of rights whose model or holder no longer permits them, then grants for every free slot
+ * up to `maxReplicas` and for one keys right per model and plain service. A holder that restarts keeps its
+ * rights. `nowMs` is log time or a Unix clock close to it; the fold ignores a grant that comes too early,
+ * and it is proposed again. The caller must wait until its records are read back before the next round.
  */
 export const proposeRights = (
   state: AgreedState, instances: readonly ListedInstance[], facts: ProposalFacts, nowMs: number
 ): readonly NewRecord[] => {
   const round: Round = {
-    state, nowMs, facts, maxCount: facts.maxCount ?? PROPOSAL_BATCH, records: [], promised: undefined
+    state, nowMs, facts, maxCount: facts.maxCount ?? MAX_PROPOSALS_PER_ROUND, records: [], promised: undefined
   }
   const leaving = new Set(instances.filter(instance => instance.leaving).map(instance => instance.name))
-  for (const right of findRevokes(state, leaving)) {
+  for (const right of findRightsToRevoke(state, leaving)) {
     if (isFull(round)) break
     if (facts.mayPropose(right.key.target)) revoke(round, right)
   }
   const candidates = groupCandidates(state, instances)
   for (const service of listServices(state)) {
     if (isFull(round)) break
-    const serving = candidates.get(service)
-    if (serving) grantService(round, service, serving)
+    const serviceCandidates = candidates.get(service)
+    if (serviceCandidates) grantService(round, service, serviceCandidates)
   }
   return round.records
 }
--- a/packages/records/src/proposals/proposeVoids.ts
+++ b/packages/records/src/proposals/proposeVoids.ts
@@ -1,4 +1,4 @@
-import { LIST_ABSENT_MS, VOID_BATCH } from './constants.js'
+import { MIN_LIST_ABSENCE_MS, MAX_VOIDS_PER_ROUND } from './constants.js'
 
 import type { InstanceName, LogOffset } from '@figmount/base'
 import type { AgreedState } from '../fold/types.js'
@@ -6,13 +6,13 @@
 import type { EngineReach } from './types.js'
 import type { Absences } from './trackAbsences.js'
 
-interface VoidFacts {
+interface VoidOptions {
   readonly mayPropose: (target: string) => boolean
-  /** What the instance's engine last said to this process. */
+  /** Result of this process's last attempt to contact the instance's engine. */
   readonly engineOf: (instance: InstanceName) => EngineReach
 }
 
-const isSettled = (state: AgreedState, instance: InstanceName): boolean => {
+const isAlreadyVoid = (state: AgreedState, instance: InstanceName): boolean => {
   if (!state.agents.get(instance)?.gone) return false
   for (const right of state.rights.values()) {
     if (right.status !== 'free' && right.holder === instance) return false
@@ -21,27 +21,27 @@
 }
 
 /**
- * Instances that have been off the list for long enough on this process's own clock.
- * Their engines are worth looking for.
+ * Instances that have been off the list for MIN_LIST_ABSENCE_MS by this process's own clock and are not void yet.
+ * Proposers try to contact their engines.
  */
 export const findAbsent = (state: AgreedState, absences: Absences): readonly InstanceName[] => {
   const absent: InstanceName[] = []
   for (const [instance, sinceMs] of absences.sinceMs) {
-    if (absences.lastReadMs - sinceMs < LIST_ABSENT_MS) continue
-    if (!isSettled(state, instance)) absent.push(instance)
+    if (absences.lastReadMs - sinceMs < MIN_LIST_ABSENCE_MS) continue
+    if (!isAlreadyVoid(state, instance)) absent.push(instance)
   }
   return absent
 }
 
 /**
- * Voids for instances that are gone: off the list for LIST_ABSENT_MS, and the engine does not
- * answer or has been fenced. While an engine answers that ignores fences, nothing is void: its agent,
- * cut off from the log, could let it load again after any unload, so the bound on replicas wins.
+ * Proposes voids for instances that were off the list for MIN_LIST_ABSENCE_MS and whose engine does not answer or
+ * has been fenced. An engine that answers but does not enforce fences blocks the void: its agent may be cut off
+ * from the log and could make it load a model again after any unload. The limit on replicas takes precedence.
  */
-export const proposeVoids = (state: AgreedState, absences: Absences, facts: VoidFacts): readonly NewRecord[] => {
+export const proposeVoids = (state: AgreedState, absences: Absences, facts: VoidOptions): readonly NewRecord[] => {
   const voids: NewRecord[] = []
   for (const instance of findAbsent(state, absences)) {
-    if (voids.length >= VOID_BATCH) break
+    if (voids.length >= MAX_VOIDS_PER_ROUND) break
     if (facts.engineOf(instance) === 'reachable' || !facts.mayPropose(instance)) continue
     voids.push({ kind: 'instance.void', instance, upToOffset: (state.nextOffset - 1) as LogOffset })
   }
--- a/packages/records/src/proposals/sumPromised.ts
+++ b/packages/records/src/proposals/sumPromisedMemory.ts
@@ -4,8 +4,8 @@
 import type { InstanceName } from '@figmount/base'
 import type { AgreedState } from '../fold/types.js'
 
-/** Memory in MB of all models that each agent holds a slot of. */
-export const sumPromised = (state: AgreedState): Map<InstanceName, number> => {
+/** Memory in MB that each agent needs for the models of all replica slots that it holds. */
+export const sumPromisedMemory = (state: AgreedState): Map<InstanceName, number> => {
   const promised = new Map<InstanceName, number>()
   for (const [target, { replicas }] of indexRights(state)) {
     const memoryMb = findModel(state, target)?.memoryMb ?? 0
--- a/packages/records/src/proposals/types.ts
+++ b/packages/records/src/proposals/types.ts
@@ -2,44 +2,44 @@
 import type { AgentFacts } from '../agents/types.js'
 import type { RightKey, RightState } from '../rights/types.js'
 
-/** What a proposal needs of the platform's instance list. */
+/** An instance of the platform's instance list, as far as proposals depend on it. */
 export interface ListedInstance {
   readonly name: InstanceName
-  /** The platform has announced that the instance goes away. */
+  /** The platform has announced that it will remove the instance. */
   readonly leaving: boolean
-  /** Its agent has told that it stops. It may come back, so its rights stay; it is granted no further ones. */
+  /** The instance's agent has announced that it stops. It may restart, so it keeps its rights but is granted no new ones. */
   readonly stopping?: boolean
 }
 
-/** What a proposer knows beside the agreed state. */
+/** Inputs of a proposal besides the agreed state. */
 export interface ProposalFacts {
-  /** Whether this process is the one to propose for a model or plain service; asked only where something is to be done. */
+  /** Whether this process is the current proposer for a model or plain service; called only for targets that need a record. */
   readonly mayPropose: (target: string) => boolean
-  /** Most records in one round; PROPOSAL_BATCH if left out. */
+  /** Maximum number of records in one round; defaults to MAX_PROPOSALS_PER_ROUND. */
   readonly maxCount?: number
 }
 
-/** What a proposer of moves knows beside the agreed state. */
+/** Inputs of `proposeMoves` besides the agreed state. */
 export interface MoveFacts extends Pick<ProposalFacts, 'mayPropose'> {
-  /** Whether an agent is known to have the model loaded or loading; false where nothing is known. */
+  /** Whether an agent is known to have the model loaded or loading; false if its load state is unknown. */
   readonly isLoaded: (instance: InstanceName, target: ModelId) => boolean
 }
 
-/** What an engine says to a proposer that looks for it. */
+/** Result of a proposer's attempt to contact an instance's engine. */
 export type EngineReach =
-  /** It does not answer. */
+  /** The engine does not answer. */
   | 'unreachable'
-  /** It answers, enforces fences, and confirmed an unload of every model under the fence `state.nextOffset` or a newer one. */
+  /** The engine enforces fences and confirmed the unload of every model under the fence `state.nextOffset` or a newer one. */
   | 'fenced'
-  /** It answers and may still carry out an order of its agent. */
+  /** The engine answers and may still execute an order from its agent. */
   | 'reachable'
 
-/** A right to be granted and the size of what it lets load. */
-export interface OpenRight {
+/** A right that can be granted now, and the memory that its model needs. */
+export interface GrantableRight {
   readonly key: RightKey
   readonly current: RightState | undefined
   readonly memoryMb: number
 }
 
-/** Where rights can go: agents that are up, listed, and neither drain nor leave. */
+/** Agents that can be granted rights: up, listed, and neither draining, stopping nor leaving. */
 export type Candidates = readonly AgentFacts[]
--- a/packages/records/src/testing/createSlotWorld.ts
+++ b/packages/records/src/testing/createSlotWorld.ts
@@ -8,7 +8,7 @@
 import { agentUp, setConfig, twoReplicaService } from './records.js'
 import { proposeRights } from '../proposals/proposeRights.js'
 import { proposeVoids } from '../proposals/proposeVoids.js'
-import { LIST_ABSENT_MS, LIST_GAP_MS } from '../proposals/constants.js'
+import { MIN_LIST_ABSENCE_MS, MAX_LIST_READ_GAP_MS } from '../proposals/constants.js'
 import { trackAbsences } from '../proposals/trackAbsences.js'
 import { emptyState } from '../fold/emptyState.js'
 import { findModel } from '../config/selectors.js'
@@ -178,9 +178,9 @@
   }
 
   const watch = (proposer: Proposer): void => {
-    for (let passedMs = 0; passedMs <= LIST_ABSENT_MS; passedMs += LIST_GAP_MS) {
+    for (let passedMs = 0; passedMs <= MIN_LIST_ABSENCE_MS; passedMs += MAX_LIST_READ_GAP_MS) {
       readList(proposer)
-      nowMs += LIST_GAP_MS
+      nowMs += MAX_LIST_READ_GAP_MS
     }
     propose(proposer)
   }
