--- a/packages/records/src/fold/foldRecords.test.ts
+++ b/packages/records/src/fold/foldRecords.test.ts
@@ -5,7 +5,7 @@
 import { findKeysRight, findReplicaRights } from '../rights/selectors.js'
 import { findCallerByKey, findModel } from '../config/selectors.js'
 import { judgeSuspect } from '../suspects/selectors.js'
-import { VOID_WAIT_MS } from '../rights/constants.js'
+import { VOID_GRANT_DELAY_MS } from '../rights/constants.js'
 import { agentUp, grantReplica, placeAll, setConfig, twoReplicaService } from '../testing/records.js'
 
 import type { Incarnation, InstanceName, LogOffset, ModelId } from '@figmount/base'
@@ -101,7 +101,7 @@
     // what it read before the pause for fresh, its slot must not be granted to another.
     const records = placeAll([...base, grantReplica(model, 0, 'a1', 'i1', 0), voidOf('a1', 3), grantReplica(model, 0, 'a2', 'i1', 3)])
     const early = records.at(-1) as FoldInput
-    const inTime: FoldInput = { ...early, appendedAtMs: (records[4]?.appendedAtMs ?? 0) + VOID_WAIT_MS }
+    const inTime: FoldInput = { ...early, appendedAtMs: (records[4]?.appendedAtMs ?? 0) + VOID_GRANT_DELAY_MS }
     expect(foldRecords(emptyState, records).outcomes.at(-1)?.applied).to.equal(false)
     expect(foldRecords(emptyState, [...records.slice(0, -1), inTime]).outcomes.at(-1)?.applied).to.equal(true)
   })
--- a/packages/records/src/proposals/proposeRights.test.ts
+++ b/packages/records/src/proposals/proposeRights.test.ts
@@ -7,7 +7,7 @@
 import { noAbsences, trackAbsences } from './trackAbsences.js'
 import { emptyState } from '../fold/emptyState.js'
 import { foldRecords } from '../fold/foldRecords.js'
-import { VOID_WAIT_MS } from '../rights/constants.js'
+import { VOID_GRANT_DELAY_MS } from '../rights/constants.js'
 import { findKeysRight, findReplicaRights } from '../rights/selectors.js'
 import { agentUp, placeAll, setConfig } from '../testing/records.js'
 
@@ -155,7 +155,7 @@
     expect(voids.map(record => record.kind === 'instance.void' && record.instance)).to.deep.equal(['a1'])
     const freed = fold(state, voids)
     expect(holdersOf(freed, 'm')).to.have.length(5)
-    const later = fold(freed, [agentIn('a7', 'dc-0')], VOID_WAIT_MS)
+    const later = fold(freed, [agentIn('a7', 'dc-0')], VOID_GRANT_DELAY_MS)
     expect(holdersOf(foldProposals(later, listed(...rest, 'a7')), 'm')).to.include('a7')
     expect(findAbsent(freed, absences)).to.deep.equal([])
   })
--- a/packages/records/src/rights/applyGrant.ts
+++ b/packages/records/src/rights/applyGrant.ts
@@ -9,7 +9,7 @@
 
 type RightGrant = Extract<LogRecord, { kind: 'right.grant' }>
 
-const findKeyMistake = (state: AgreedState, key: RightKey): string | undefined => {
+const findTargetError = (state: AgreedState, key: RightKey): string | undefined => {
   if (key.kind === 'keys' && !key.target.includes('/')) {
     const service = findService(state, serviceOfTarget(key.target))
     return service?.kind === 'plain' ? undefined : `no plain service ${key.target} is in force`
@@ -20,7 +20,7 @@
   return undefined
 }
 
-const findReceiverMistake = (state: AgreedState, record: RightGrant): string | undefined => {
+const findHolderError = (state: AgreedState, record: RightGrant): string | undefined => {
   const agent = state.agents.get(record.instance)
   if (!agent || agent.gone) return `${record.instance} is not up`
   if (agent.incarnation !== record.incarnation) return `${record.instance} has restarted`
@@ -29,7 +29,7 @@
   return agent.services.includes(service) ? undefined : `${record.instance} does not serve ${service}`
 }
 
-const findRightMistake = (state: AgreedState, record: RightGrant, right: RightState | undefined): string | undefined => {
+const findRightError = (state: AgreedState, record: RightGrant, right: RightState | undefined): string | undefined => {
   if (right && right.status !== 'free') return `the right is ${right.status}, held by ${right.holder}`
   if ((right?.fence ?? 0) !== record.expectedFence) return `the last fence is ${right?.fence ?? 0}`
   if (right && state.asOfMs < right.grantableFromMs) return `not to be granted before ${right.grantableFromMs}`
@@ -37,10 +37,10 @@
 }
 
 /**
- * Guards against a model whose replicas all depend on one instance: proposers that know different agents grant two slots to
- * the same one, every slot counts as granted, and nothing serves the model once that instance is lost.
+ * Guards against a model whose replicas all depend on one instance: proposers that see different agents could grant it two
+ * slots, all slots would then count as granted, and nothing would serve the model once that instance is lost.
  */
-const findSpreadMistake = (state: AgreedState, { right: { kind, target }, instance }: RightGrant): string | undefined => {
+const findSecondSlotError = (state: AgreedState, { right: { kind, target }, instance }: RightGrant): string | undefined => {
   if (kind === 'keys') return undefined
   const slotCount = findModel(state, target)?.maxReplicas ?? 0
   for (let slotIndex = 0; slotIndex < slotCount; slotIndex += 1) {
@@ -51,25 +51,25 @@
 }
 
 /**
- * A right that is not in the state has never been granted, or was forgotten with its model. Only the
- * first version of a service rules the latter out, and with it that anybody decided on keys before.
+ * A right that is not in the state was never granted or was deleted with its model. Only version 1 of the service
+ * rules out the latter, and with it that an earlier holder permitted any request keys.
  */
-const keysFromOf = (state: AgreedState, key: RightKey, known: RightState | undefined): number => {
+const keysFromMsFor = (state: AgreedState, key: RightKey, known: RightState | undefined): number => {
   if (known) return known.keysFromMs
   const version = state.items.get(`service/${serviceOfTarget(key.target)}`)?.version
   return version === 1 ? 0 : state.asOfMs + KEY_AHEAD_MS
 }
 
-/** Grants a free right. Its offset becomes the right's fence, so the first of two racing grants wins. */
+/** Grants a free right. The record's offset becomes the right's fence, so the first of two racing grants wins. */
 export const applyGrant = (draft: Draft, placed: PlacedRecord, record: RightGrant): FoldOutcome => {
   const { state } = draft
   const id = rightIdOf(record.right)
   const known = state.rights.get(id)
-  const mistake = findKeyMistake(state, record.right) ??
-    findReceiverMistake(state, record) ??
-    findRightMistake(state, record, known) ??
-    findSpreadMistake(state, record)
-  if (mistake) return ignored(mistake)
+  const error = findTargetError(state, record.right) ??
+    findHolderError(state, record) ??
+    findRightError(state, record, known) ??
+    findSecondSlotError(state, record)
+  if (error) return ignored(error)
   draft.change('rights').set(id, {
     id,
     key: record.right,
@@ -78,7 +78,7 @@
     incarnation: record.incarnation,
     fence: placed.offset,
     tenureFromMs: state.asOfMs,
-    keysFromMs: keysFromOf(state, record.right, known),
+    keysFromMs: keysFromMsFor(state, record.right, known),
     grantableFromMs: 0
   })
   return applied
--- a/packages/records/src/rights/applyRightChange.ts
+++ b/packages/records/src/rights/applyRightChange.ts
@@ -12,7 +12,7 @@
 type RightRelease = Extract<LogRecord, { kind: 'right.release' }>
 type RightRenew = Extract<LogRecord, { kind: 'right.renew' }>
 
-const findHeld = (state: AgreedState, record: RightRevoke | RightRelease | RightRenew): RightState | string => {
+const findHeldRight = (state: AgreedState, record: RightRevoke | RightRelease | RightRenew): RightState | string => {
   const right = state.rights.get(rightIdOf(record.right))
   if (!right || right.status === 'free') return 'the right is free'
   if (right.fence !== record.fence) return `the fence is ${right.fence}`
@@ -24,9 +24,9 @@
     ? findModel(state, right.key.target) !== undefined
     : findService(state, right.key.target as string as ServiceName) !== undefined
 
-/** Asks the holder to give a right up. The holder keeps it, without new work, until it releases it. */
+/** Requests that the holder releases a right. The holder keeps it, without accepting new work, until it does. */
 export const applyRevoke = (draft: Draft, record: RightRevoke): FoldOutcome => {
-  const right = findHeld(draft.state, record)
+  const right = findHeldRight(draft.state, record)
   if (typeof right === 'string') return ignored(right)
   if (right.status === 'revoked') return ignored('the right is revoked already')
   draft.change('rights').set(right.id, { ...right, status: 'revoked' })
@@ -34,16 +34,15 @@
 }
 
 /**
- * The holder gives a right up after its engine confirmed the unload.
- * Guards against a release that is delayed on its way while its agent restarts: the new
- * incarnation finds the right still its own and loads; the late release would then free the
- * right under it and a second replica be granted elsewhere. So only the release of the
- * incarnation that came up last counts, and an agent acts only after it has read back its own
- * `agent.up`.
+ * Frees a right that its holder released after its engine confirmed the unload.
+ * Guards against a release that is delayed while its agent restarts: the new incarnation still holds
+ * the right and loads the model; the late release would then free the right although a replica is loaded,
+ * and a second one could be granted elsewhere. So only a release from the holder's latest incarnation
+ * counts, and an agent acts only after it has read back its own `agent.up`.
  */
 export const applyRelease = (draft: Draft, record: RightRelease): FoldOutcome => {
   const { state } = draft
-  const right = findHeld(state, record)
+  const right = findHeldRight(state, record)
   if (typeof right === 'string') return ignored(right)
   if (record.writer !== right.holder) return ignored(`the holder is ${right.holder}`)
   const incarnation = state.agents.get(right.holder)?.incarnation
@@ -56,10 +55,10 @@
   return applied
 }
 
-/** A restarted holder of a `keys` right starts its tenure anew. */
+/** Starts a new tenure of a `keys` right for a holder that has restarted. */
 export const applyRenew = (draft: Draft, record: RightRenew): FoldOutcome => {
   const { state } = draft
-  const right = findHeld(state, record)
+  const right = findHeldRight(state, record)
   if (typeof right === 'string') return ignored(right)
   if (right.key.kind !== 'keys') return ignored('only a keys right has a tenure')
   if (right.status === 'revoked') return ignored('the right is revoked')
@@ -67,7 +66,7 @@
   if (record.incarnation !== state.agents.get(right.holder)?.incarnation) return ignored('the holder has restarted since')
   if (record.incarnation === right.incarnation) return ignored('the tenure is renewed already')
   const { asOfMs } = state
-  // The run before this one may still be about, paused or cut off, until its authority runs out.
+  // The holder's previous run may still be active, paused or cut off, until its authority expires.
   const keysFromMs = asOfMs + AUTHORITY_MS + KEY_AHEAD_MS
   draft.change('rights').set(right.id, { ...right, incarnation: record.incarnation, tenureFromMs: asOfMs, keysFromMs })
   return applied
--- a/packages/records/src/rights/constants.ts
+++ b/packages/records/src/rights/constants.ts
@@ -1,36 +1,36 @@
 /**
- * How long an agent may act on what it last read from the log, on its own monotonic
- * clock, counted from the moment the confirming read was sent. Grounds: several times
- * the long-poll period, so that one lost read does no harm.
+ * How long an agent may act on its last read of the log, by its own monotonic clock, counted from the
+ * moment the confirming read was sent. It is several times the long-poll period, so that one lost
+ * read has no effect.
  */
 export const AUTHORITY_MS = 5_000
 
-/** Deadline that every order to an engine carries, relative to its sending. */
+/** Deadline of every order to an engine, relative to the time it is sent. */
 export const ORDER_DEADLINE_MS = 3_000
 
 /**
- * Log time that must pass between the void of an instance's rights and a new grant.
- * Grounds: authority, one order in flight at its end, and a second for the log's clock.
+ * Log time that must pass between the void of an instance's rights and a new grant: the holder's
+ * authority, the deadline of an order sent at its end, and a second for the log's clock.
  */
-export const VOID_WAIT_MS = AUTHORITY_MS + ORDER_DEADLINE_MS + 1_000
+export const VOID_GRANT_DELAY_MS = AUTHORITY_MS + ORDER_DEADLINE_MS + 1_000
 
-/** How far a caller's or a router's clock may be off the log's clock. */
+/** Maximum deviation of a caller's or a router's clock from the log's clock. */
 export const CLOCK_ERROR_MS = 2_000
 
-/** Age above which a key of a request that may not be repeated is refused. */
+/** Maximum age of the key of a request that may not be repeated; older keys are refused. */
 export const ONCE_WINDOW_MS = 600_000
 
 /**
- * A key that a holder lets run may be stamped up to this much later than the moment, by the log's clock.
- * Grounds: it is taken up to CLOCK_ERROR_MS ahead of the holder's clock, which may itself be ahead by
- * as much; and a millisecond, because a key stamped at either bound is still taken.
+ * Maximum lead of a permitted key's timestamp over the log's clock at the time of the permit.
+ * A key is accepted up to CLOCK_ERROR_MS ahead of the holder's clock, which may itself be ahead by
+ * as much. The extra millisecond is needed because a key stamped exactly at either bound is accepted.
  */
 export const KEY_AHEAD_MS = 2 * CLOCK_ERROR_MS + 1
 
 /**
- * How long a holder remembers a key that it let run, counted from the key's issue on the clock
- * by which the holder refuses old keys, or from the permit, whichever is later.
- * Grounds: a key from up to CLOCK_ERROR_MS ahead would otherwise be forgotten while it is still
- * inside the window, and a resend be let run a second time.
+ * How long a holder remembers a key that it permitted, counted from the key's issue, by the clock with
+ * which the holder checks key ages, or from the permit, whichever is later. Without the margin, a key
+ * from up to CLOCK_ERROR_MS ahead would be forgotten while it is still within the window, and
+ * a resend would be permitted a second time.
  */
 export const KEY_MEMORY_MS = ONCE_WINDOW_MS + 2 * CLOCK_ERROR_MS
--- a/packages/records/src/rights/indexRights.ts
+++ b/packages/records/src/rights/indexRights.ts
@@ -2,14 +2,14 @@
 import type { AgreedState } from '../fold/types.js'
 import type { RightState } from './types.js'
 
-/** All rights of one model or plain service that the state knows, free ones included. */
+/** All rights of one model or plain service that are in the state, including free ones. */
 export interface TargetRights {
-  /** By slot index; slots that were never granted are missing. */
+  /** By slot index; slots that were never granted are absent. */
   readonly replicas: ReadonlyMap<number, RightState>
   readonly keys: RightState | undefined
 }
 
-interface Growing {
+interface MutableTargetRights {
   readonly replicas: Map<number, RightState>
   keys: RightState | undefined
 }
@@ -19,7 +19,7 @@
 const indexes = new WeakMap<AgreedState['rights'], ReadonlyMap<ModelId, TargetRights>>()
 
 const buildIndex = (rights: AgreedState['rights']): ReadonlyMap<ModelId, TargetRights> => {
-  const index = new Map<ModelId, Growing>()
+  const index = new Map<ModelId, MutableTargetRights>()
   for (const right of rights.values()) {
     const entry = index.get(right.key.target) ?? { replicas: new Map(), keys: undefined }
     if (right.key.kind === 'keys') entry.keys = right
@@ -30,13 +30,13 @@
 }
 
 /**
- * Rights by their target. Built once for each state in which rights changed; only for states that
- * the fold has finished, whose collections no longer change.
+ * Rights by target. The index is cached by the state's collection of rights, so call this only with states
+ * that the fold has finished and no longer changes.
  */
 export const indexRights = (state: AgreedState): ReadonlyMap<ModelId, TargetRights> => {
-  const known = indexes.get(state.rights)
-  if (known) return known
-  const made = buildIndex(state.rights)
-  indexes.set(state.rights, made)
-  return made
+  const cached = indexes.get(state.rights)
+  if (cached) return cached
+  const index = buildIndex(state.rights)
+  indexes.set(state.rights, index)
+  return index
 }
--- a/packages/records/src/rights/rightId.ts
+++ b/packages/records/src/rights/rightId.ts
@@ -6,11 +6,11 @@
 const REPLICA_ID = /^replica:([^:]+):(\d+)$/
 const KEYS_ID = /^keys:([^:]+)$/
 
-/** Text form of a right key; two keys are the same right exactly if their texts are equal. */
+/** Text form of a right key; two keys denote the same right exactly if their texts are equal. */
 export const rightIdOf = (key: RightKey): RightId =>
   (key.kind === 'replica' ? `replica:${key.target}:${key.slotIndex}` : `keys:${key.target}`) as RightId
 
-/** Reads the text form back; undefined if it is none. */
+/** Parses the text form of a right key; undefined if the text is invalid. */
 export const parseRightId = (text: string): RightKey | undefined => {
   const [, replicaTarget, slotText] = REPLICA_ID.exec(text) ?? []
   if (replicaTarget !== undefined) {
@@ -22,7 +22,7 @@
   return keysTarget === undefined ? undefined : { kind: 'keys', target: keysTarget as ModelId }
 }
 
-/** The service that a right belongs to: the part of its target before the slash, or all of it for a plain service. */
+/** The service of a right's target: the part before the slash, or the whole target for a plain service. */
 export const serviceOfTarget = (target: ModelId): ServiceName => {
   const slash = target.indexOf('/')
   return (slash < 0 ? target : target.slice(0, slash)) as string as ServiceName
--- a/packages/records/src/rights/selectors.ts
+++ b/packages/records/src/rights/selectors.ts
@@ -6,8 +6,8 @@
 import type { RightState } from './types.js'
 
 /**
- * The granted replica rights of a model in order of slot index, those above its present
- * `maxReplicas` left out. Revoked rights are left out: they get no new work.
+ * The granted replica rights of a model by slot index, without those at or above its current
+ * `maxReplicas`. Revoked rights are not included because they get no new work.
  */
 export const findReplicaRights = (state: AgreedState, model: ModelId): readonly RightState[] => {
   const slotCount = findModel(state, model)?.maxReplicas ?? 0
@@ -19,7 +19,7 @@
   return granted
 }
 
-/** The granted keys right of a model, or of a plain service by its name; undefined if nobody holds it. */
+/** The granted keys right of a model, or of a plain service by its name; undefined if it has no holder. */
 export const findKeysRight = (state: AgreedState, target: ModelId): RightState | undefined => {
   const right = state.rights.get(rightIdOf({ kind: 'keys', target }))
   return right?.status === 'granted' ? right : undefined
--- a/packages/records/src/rights/types.ts
+++ b/packages/records/src/rights/types.ts
@@ -1,10 +1,10 @@
 import type { Incarnation, InstanceName, LogOffset, ModelId } from '@figmount/base'
 
 /**
- * A right to act, granted ahead of need through the log.
+ * A right to act, granted in advance through the log.
  * `replica`: the holder may load one replica of the model under this slot index.
- * `keys`: the holder alone lets requests start that may not be repeated.
- * For plain services the target is the service's name and only `keys` exists.
+ * `keys`: only the holder may start requests that must not be repeated, identified by their keys.
+ * For a plain service the target is the service's name, and only `keys` exists.
  */
 export type RightKey =
   | { readonly kind: 'replica', readonly target: ModelId, readonly slotIndex: number }
@@ -15,22 +15,22 @@
 
 export type RightStatus = 'granted' | 'revoked' | 'free'
 
-/** The state of one right. `fence` is the offset of the grant that is or was in force. */
+/** The state of one right. `fence` is the offset of its current or, if it is free, its last grant. */
 export interface RightState {
   readonly id: RightId
   readonly key: RightKey
   readonly status: RightStatus
   readonly holder: InstanceName
-  /** The holder's incarnation that the tenure of a `keys` right belongs to. */
+  /** The incarnation of the holder whose tenure of a `keys` right it is. */
   readonly incarnation: Incarnation
   readonly fence: LogOffset
-  /** Log time from which the tenure of a `keys` right counts. */
+  /** Log time at which the tenure of a `keys` right began. */
   readonly tenureFromMs: number
   /**
-   * For a `keys` right: a key that was issued at or after this log time, by its own stamp, can't
-   * have been let run by an earlier holder or an earlier run of this one. Margins are in it.
+   * For a `keys` right: a request key stamped at or after this log time can't have been permitted
+   * by an earlier holder or an earlier run of this one. Clock margins are included.
    */
   readonly keysFromMs: number
-  /** A grant before this log time is ignored; set when a right became free by a void. */
+  /** A grant before this log time is ignored; set when a void freed the right. */
   readonly grantableFromMs: number
 }
--- a/packages/records/src/testing/createKeysWorld.ts
+++ b/packages/records/src/testing/createKeysWorld.ts
@@ -116,7 +116,7 @@
     if (!held || holder.known.has(key.id) || !isUnderTenure(holder, held, key, clockMs)) return
     key.permitCount += 1
     holder.known.set(key.id, Math.max(clockMs, key.issuedAtMs) + rules.memoryMs)
-    if (key.permitCount > 1) violations.push(`key ${key.id} was let run ${key.permitCount} times`)
+    if (key.permitCount > 1) violations.push(`key ${key.id} was permitted ${key.permitCount} times`)
   }
 
   const restart = (holder: Holder): void => {
