--- a/packages/records/src/agents/applyAgentUp.ts
+++ b/packages/records/src/agents/applyAgentUp.ts
@@ -7,8 +7,8 @@
 
 type AgentUp = Extract<LogRecord, { kind: 'agent.up' }>
 
-// Instances may come and go under ever new names; without a bound the state would grow for ever.
-const forgetOldestGone = (draft: Draft): void => {
+// Instances may come and go under ever new names; this bounds the number of gone ones in the state.
+const deleteOldestGone = (draft: Draft): void => {
   const gone = [...draft.state.agents.values()].filter(agent => agent.gone)
   if (gone.length <= GONE_AGENT_LIMIT) return
   const oldestFirst = gone.toSorted((a, b) => a.offset - b.offset)
@@ -18,9 +18,9 @@
 }
 
 /**
- * An agent announces itself. It keeps its rights and an operator's drain over a restart.
- * An announcement of an earlier incarnation is ignored: it was delayed on its way and would
- * make the agent that runs now look like a stranger.
+ * Applies an agent's announcement. Over a restart the agent keeps its rights and a drain set by an operator.
+ * A delayed announcement of an earlier incarnation is ignored: it would replace the incarnation that
+ * runs now, whose releases and renewals the fold would then ignore.
  */
 export const applyAgentUp = (draft: Draft, placed: PlacedRecord, record: AgentUp): FoldOutcome => {
   const known = draft.state.agents.get(record.instance)
@@ -38,6 +38,6 @@
     gone: false
   }
   draft.change('agents').set(record.instance, facts)
-  if (!known) forgetOldestGone(draft)
+  if (!known) deleteOldestGone(draft)
   return applied
 }
--- a/packages/records/src/agents/applyInstanceVoid.ts
+++ b/packages/records/src/agents/applyInstanceVoid.ts
@@ -11,9 +11,9 @@
   right.status !== 'free' && right.holder === record.instance && right.fence <= record.upToOffset
 
 /**
- * Frees the rights of an instance that is gone. They may be granted again only after VOID_WAIT_MS
- * of log time: a holder that was merely paused may act on what it read before the void until its
- * authority runs out, and an order that it sent last may be carried out until the order's deadline.
+ * Frees the rights of an instance that is gone. They can be granted again only after VOID_GRANT_DELAY_MS
+ * of log time: a holder that was merely paused may act on its last read until its authority expires, and
+ * its last order may be executed until the order's deadline.
  * A void that was decided before the agent came up again is ignored.
  */
 export const applyInstanceVoid = (draft: Draft, record: InstanceVoid): FoldOutcome => {
--- a/packages/records/src/agents/types.ts
+++ b/packages/records/src/agents/types.ts
@@ -1,6 +1,6 @@
 import type { DataCentre, Incarnation, InstanceName, LogOffset, ServiceName } from '@figmount/base'
 
-/** What an agent has said of itself in the log. */
+/** The state of an agent: its last announcement in the log, and the drain or void applied to it. */
 export interface AgentFacts {
   readonly instance: InstanceName
   readonly incarnation: Incarnation
@@ -9,10 +9,10 @@
   readonly backendKind: 'engine' | 'plain'
   readonly memoryCapacityMb: number
   readonly enforcesFence: boolean
-  /** Offset of the record that said so. */
+  /** Offset of the announcement. */
   readonly offset: LogOffset
   /** Set by an operator; the instance gets no new work. */
   readonly draining: boolean
-  /** Set by a void; the instance is gone until it comes up again. */
+  /** Set by a void; cleared when the agent comes up again. */
   readonly gone: boolean
 }
--- a/packages/records/src/suspects/applySuspect.ts
+++ b/packages/records/src/suspects/applySuspect.ts
@@ -1,4 +1,4 @@
-import { DEATHS_KEPT, SUSPECT_LIMIT } from './constants.js'
+import { MAX_DEATHS_PER_SUSPECT, MAX_SUSPECTS } from './constants.js'
 import { applied, ignored } from '../fold/outcomes.js'
 
 import type { Draft } from '../fold/openDraft.js'
@@ -8,7 +8,7 @@
 type SuspectAdd = Extract<LogRecord, { kind: 'suspect.add' }>
 type SuspectClear = Extract<LogRecord, { kind: 'suspect.clear' }>
 
-/** Notes the death of an engine for each request that was running on it. */
+/** Records the death of an engine for each request that was running on it. */
 export const applySuspectAdd = (draft: Draft, record: SuspectAdd): FoldOutcome => {
   const death: SuspectDeath = {
     deathId: record.deathId,
@@ -22,16 +22,16 @@
     if (known?.deaths.some(earlier => earlier.deathId === record.deathId)) continue
     isNew = true
     const suspects = draft.change('suspects')
-    // Taken out first, so that the map stays ordered by last death.
+    // Deleted first, so that the map stays ordered by last death.
     suspects.delete(fingerprint)
-    suspects.set(fingerprint, { fingerprint, deaths: [...known?.deaths ?? [], death].slice(-DEATHS_KEPT) })
+    suspects.set(fingerprint, { fingerprint, deaths: [...known?.deaths ?? [], death].slice(-MAX_DEATHS_PER_SUSPECT) })
     const [oldest] = suspects.keys()
-    if (oldest !== undefined && suspects.size > SUSPECT_LIMIT) suspects.delete(oldest)
+    if (oldest !== undefined && suspects.size > MAX_SUSPECTS) suspects.delete(oldest)
   }
   return isNew ? applied : ignored('the death is known')
 }
 
-/** Clears a suspect that has been answered. */
+/** Removes a suspect whose request has been answered since. */
 export const applySuspectClear = (draft: Draft, record: SuspectClear): FoldOutcome => {
   if (!draft.state.suspects.has(record.fingerprint)) return ignored('no such suspect')
   draft.change('suspects').delete(record.fingerprint)
--- a/packages/records/src/suspects/constants.ts
+++ b/packages/records/src/suspects/constants.ts
@@ -1,14 +1,14 @@
-/** Two deaths within this time, the last of them alone, convict a suspect. */
+/** A suspect is convicted by two engine deaths within this time if it was the only running request at the last. */
 export const CONVICTION_WINDOW_MS = 600_000
 
 /**
- * How long a death is remembered. Grounds: callers send a deadly request again for hours;
- * a suspicion that lapses sooner costs one more engine each time.
+ * How long a death counts against a suspect. Callers may resend a request that crashes engines for hours;
+ * each time its deaths expire before that ends, it crashes one more engine.
  */
-export const SUSPICION_MS = 86_400_000
+export const DEATH_RETENTION_MS = 86_400_000
 
-/** Suspects in all; the one whose last death is longest ago is forgotten first. */
-export const SUSPECT_LIMIT = 1000
+/** Maximum number of suspects; beyond it the one whose last death is oldest is deleted. */
+export const MAX_SUSPECTS = 1000
 
-/** Deaths kept of one suspect, the latest. */
-export const DEATHS_KEPT = 4
+/** Maximum number of deaths stored per suspect; the latest are kept. */
+export const MAX_DEATHS_PER_SUSPECT = 4
