--- a/packages/records/src/config/applyConfigSet.ts
+++ b/packages/records/src/config/applyConfigSet.ts
@@ -11,7 +11,7 @@
 
 type ConfigSet = Extract<LogRecord, { kind: 'config.set' }>
 
-const keepRecent = (versions: readonly ConfigVersion[]): readonly ConfigVersion[] => {
+const trimHistory = (versions: readonly ConfigVersion[]): readonly ConfigVersion[] => {
   const newest = versions.at(-1)
   if (!newest) return versions
   let length = newest.bodyJson.length
@@ -24,8 +24,8 @@
   return versions.slice(first)
 }
 
-// Two callers with one key could not be told apart: shares and priorities would go to either.
-const keyTakenBy = (state: AgreedState, record: ConfigSet, body: ServiceSpec | CallerSpec): string | undefined => {
+// Each key must belong to one caller: requests with a shared key could be charged to either caller's share and priority.
+const findKeyOwner = (state: AgreedState, record: ConfigSet, body: ServiceSpec | CallerSpec): string | undefined => {
   if (!('keySha256' in body)) return undefined
   for (const [item, version] of state.items) {
     if (version.retired || item === record.item || !item.startsWith('caller/')) continue
@@ -34,7 +34,7 @@
   return undefined
 }
 
-const findMistake = (state: AgreedState, record: ConfigSet): string | undefined => {
+const findChangeError = (state: AgreedState, record: ConfigSet): string | undefined => {
   if (!isItemName(record.item)) return 'item: neither service/<name> nor caller/<name>'
   const current = state.items.get(record.item)
   const version = current?.version ?? 0
@@ -47,17 +47,17 @@
     .caseOf({
       Left: mistake => mistake,
       Right: body => {
-        const taken = keyTakenBy(state, record, body)
-        return taken ? `keySha256: ${taken} has this key` : undefined
+        const owner = findKeyOwner(state, record, body)
+        return owner ? `keySha256: ${owner} has this key` : undefined
       }
     })
 }
 
 /**
- * Forgets free rights whose model is gone, so that the state stays bounded while models come and go.
- * A right that still waits after a void is kept: forgetting it would let a grant through too early.
+ * Deletes free rights whose model is no longer configured, so that the state stays bounded while models come and go.
+ * A right whose grant is still delayed after a void is kept: without it a grant would be accepted too early.
  */
-const forgetFreeRights = (draft: Draft, service: ServiceName): void => {
+const deleteObsoleteRights = (draft: Draft, service: ServiceName): void => {
   const { state } = draft
   for (const right of state.rights.values()) {
     if (right.status !== 'free' || right.grantableFromMs > state.asOfMs) continue
@@ -67,10 +67,10 @@
   }
 }
 
-/** Puts a new version of an item in force, unless the writer expected another version or the body is wrong. */
+/** Puts a new version of an item in force, unless another version than the expected one is in force or the body is invalid. */
 export const applyConfigSet = (draft: Draft, placed: PlacedRecord, record: ConfigSet): FoldOutcome => {
-  const mistake = findMistake(draft.state, record)
-  if (mistake) return ignored(mistake)
+  const error = findChangeError(draft.state, record)
+  if (error) return ignored(error)
   const previous = draft.state.items.get(record.item)
   const next: ConfigVersion = {
     item: record.item,
@@ -85,10 +85,10 @@
   draft.change('items').set(record.item, next)
   if (previous) {
     const earlier = draft.state.history.get(record.item) ?? []
-    draft.change('history').set(record.item, keepRecent([...earlier, previous]))
+    draft.change('history').set(record.item, trimHistory([...earlier, previous]))
   }
   if (record.item.startsWith('service/')) {
-    forgetFreeRights(draft, record.item.slice('service/'.length) as ServiceName)
+    deleteObsoleteRights(draft, record.item.slice('service/'.length) as ServiceName)
   }
   return applied
 }
--- a/packages/records/src/config/selectors.ts
+++ b/packages/records/src/config/selectors.ts
@@ -6,21 +6,21 @@
 import type { AgreedState } from '../fold/types.js'
 import type { CallerInForce, ConfigVersion, ModelSpec, ServiceSpec } from './types.js'
 
-// Bodies are kept as text in the state and read once for each version: a version object never
-// changes and is shared by all later states, so a weak map holds exactly the bodies in use.
+// The state holds bodies as text, and each version is parsed once: version objects are immutable and shared
+// by all later states, so a weak map keeps parsed bodies exactly as long as they are in use.
 const serviceByVersion = new WeakMap<ConfigVersion, ServiceSpec>()
 const modelsByService = new WeakMap<ServiceSpec, ReadonlyMap<ModelId, ModelSpec>>()
 const callerByVersion = new WeakMap<ConfigVersion, CallerInForce>()
 const callersByItems = new WeakMap<AgreedState['items'], ReadonlyMap<string, CallerInForce>>()
 
-/** The specification in a version of a `service/` item; undefined when retired. */
+/** The specification in a version of a `service/` item; undefined if it is retired. */
 export const serviceOfVersion = (version: ConfigVersion): ServiceSpec | undefined => {
   if (version.retired) return undefined
-  const known = serviceByVersion.get(version)
-  if (known) return known
-  const read = parseServiceBody(version.bodyJson).toMaybe().extract()
-  if (read) serviceByVersion.set(version, read)
-  return read
+  const cached = serviceByVersion.get(version)
+  if (cached) return cached
+  const spec = parseServiceBody(version.bodyJson).toMaybe().extract()
+  if (spec) serviceByVersion.set(version, spec)
+  return spec
 }
 
 /** The service in force under a name; undefined if there is none or it is retired. */
@@ -36,11 +36,11 @@
 export const modelsOfService = (state: AgreedState, service: ServiceName): ReadonlyMap<ModelId, ModelSpec> => {
   const spec = findService(state, service)
   if (!spec) return new Map()
-  const known = modelsByService.get(spec)
-  if (known) return known
-  const made = indexModels(service, spec)
-  modelsByService.set(spec, made)
-  return made
+  const cached = modelsByService.get(spec)
+  if (cached) return cached
+  const models = indexModels(service, spec)
+  modelsByService.set(spec, models)
+  return models
 }
 
 /** The model in force under an id; undefined if there is none or it is retired. */
@@ -60,32 +60,32 @@
   return names
 }
 
-/** The caller in a version of a `caller/` item; undefined when retired. */
+/** The caller in a version of a `caller/` item; undefined if it is retired. */
 export const callerOfVersion = (version: ConfigVersion): CallerInForce | undefined => {
   if (version.retired) return undefined
-  const known = callerByVersion.get(version)
-  if (known) return known
-  const read = parseCallerBody(version.bodyJson)
+  const cached = callerByVersion.get(version)
+  if (cached) return cached
+  const caller = parseCallerBody(version.bodyJson)
     .map(spec => ({ ...spec, name: version.item.slice('caller/'.length) as CallerName }))
     .toMaybe()
     .extract()
-  if (read) callerByVersion.set(version, read)
-  return read
+  if (caller) callerByVersion.set(version, caller)
+  return caller
 }
 
-const callersOf = (items: AgreedState['items']): ReadonlyMap<string, CallerInForce> => {
-  const known = callersByItems.get(items)
-  if (known) return known
-  const made = new Map<string, CallerInForce>()
+const indexCallersByKey = (items: AgreedState['items']): ReadonlyMap<string, CallerInForce> => {
+  const cached = callersByItems.get(items)
+  if (cached) return cached
+  const callers = new Map<string, CallerInForce>()
   for (const [item, version] of items) {
     if (!item.startsWith('caller/')) continue
     const caller = callerOfVersion(version)
-    if (caller) made.set(caller.keySha256, caller)
+    if (caller) callers.set(caller.keySha256, caller)
   }
-  callersByItems.set(items, made)
-  return made
+  callersByItems.set(items, callers)
+  return callers
 }
 
 /** The caller whose key has this SHA-256 hash, in lower-case hexadecimal. */
 export const findCallerByKey = (state: AgreedState, keySha256: string): CallerInForce | undefined =>
-  callersOf(state.items).get(keySha256)
+  indexCallersByKey(state.items).get(keySha256)
--- a/packages/records/src/config/types.ts
+++ b/packages/records/src/config/types.ts
@@ -2,7 +2,7 @@
 
 import type { CallerName, LogOffset } from '@figmount/base'
 
-/** Limits on what an operator may configure; they bound state and memory of every process. */
+/** Limits on configuration; they bound the agreed state and the memory of every process. */
 export const ConfigLimit = {
   nameLength: 64,
   modelsPerService: 2000,
@@ -21,7 +21,7 @@
 const adapterSpec = z.strictObject({
   name,
   memoryMb: z.int().min(1).max(ConfigLimit.modelMemoryMb),
-  /** The adapter may be loaded only by holders of the first so many slots of its model. */
+  /** Only holders of slots with an index below this may load the adapter. */
   maxReplicas: z.int().min(1).max(ConfigLimit.replicasPerModel).optional()
 })
 
@@ -29,7 +29,7 @@
   name,
   versions: z.array(name).min(1).max(ConfigLimit.versionsPerModel),
   currentVersion: name,
-  /** Replicas kept loaded even when idle. */
+  /** Replicas that stay loaded even when idle. */
   minReplicas: z.int().min(0).max(ConfigLimit.replicasPerModel),
   maxReplicas: z.int().min(1).max(ConfigLimit.replicasPerModel),
   memoryMb: z.int().min(1).max(ConfigLimit.modelMemoryMb),
@@ -40,24 +40,24 @@
   .refine(model => areDistinct(model.versions), 'versions to be distinct')
   .refine(model => areDistinct(namesOf(model.adapters)), 'names of adapters to be distinct')
 
-/** A service of models, or a plain HTTP service that is routed to as it is. */
+/** A service of models, or a plain HTTP service whose requests are routed unchanged. */
 export const serviceSpec = z.strictObject({
   kind: z.enum(['models', 'plain']),
   models: z.array(modelSpec).max(ConfigLimit.modelsPerService).default([]),
-  /** Priority for each kind of caller, 0 to 9, higher goes first; kinds not named get 0. */
+  /** Priority of each kind of caller, from 0 to 9; higher priorities are served first. Kinds not listed have 0. */
   priorities: z.record(name, z.int().min(0).max(ConfigLimit.priority)).default({}),
-  /** 0 weighs only tail cold-start time, 1 only idle accelerator hours. */
+  /** Weight of idle accelerator hours against tail cold-start time: 0 counts only the latter, 1 only the former. */
   idleCostWeight: z.number().min(0).max(1).default(0.5)
 }).refine(service => areDistinct(namesOf(service.models)), 'names of models to be distinct')
   .refine(service => service.kind === 'models' || service.models.length === 0, 'a plain service to have no models')
 
-/** A caller, known by the hash of its key. */
+/** A caller, identified by the hash of its key. */
 export const callerSpec = z.strictObject({
   kind: name,
   keySha256: z.string().regex(/^[0-9a-f]{64}$/, '64 hexadecimal digits'),
-  /** Share of a full system that this caller gets, relative to the others. */
+  /** The caller's share of capacity under full load, relative to other callers. */
   share: z.number().positive().max(1000).default(1),
-  /** The firm or department that shares the platform with others. */
+  /** The organisation that the caller belongs to. */
   tenant: name.default('default')
 })
 
@@ -69,7 +69,7 @@
 /** `service/<name>` or `caller/<name>`. */
 export type ItemName = `service/${string}` | `caller/${string}`
 
-/** One version of one item of the configuration. */
+/** One version of a configuration item. */
 export interface ConfigVersion {
   readonly item: ItemName
   readonly version: number
@@ -77,12 +77,12 @@
   readonly recordId: string
   readonly operatorName: string
   readonly changedAtMs: number
-  /** The checked body as JSON; empty when retired. */
+  /** The validated body as JSON; empty if retired. */
   readonly bodyJson: string
   readonly retired: boolean
 }
 
-/** A caller as it stands in force. */
+/** The caller of a version in force, with its name. */
 export interface CallerInForce extends CallerSpec {
   readonly name: CallerName
 }
