--- a/packages/records/src/agents/applyAgentUp.ts
+++ b/packages/records/src/agents/applyAgentUp.ts
@@ -1,4 +1,4 @@
-import { GONE_AGENT_LIMIT } from '../fold/constants.js'
+import { MAX_GONE_AGENTS } from '../fold/constants.js'
 import { applied, ignored } from '../fold/outcomes.js'
 
 import type { Draft } from '../fold/openDraft.js'
@@ -10,9 +10,9 @@
 // Instances may come and go under ever new names; this bounds the number of gone ones in the state.
 const deleteOldestGone = (draft: Draft): void => {
   const gone = [...draft.state.agents.values()].filter(agent => agent.gone)
-  if (gone.length <= GONE_AGENT_LIMIT) return
+  if (gone.length <= MAX_GONE_AGENTS) return
   const oldestFirst = gone.toSorted((a, b) => a.offset - b.offset)
-  for (const agent of oldestFirst.slice(0, gone.length - GONE_AGENT_LIMIT)) {
+  for (const agent of oldestFirst.slice(0, gone.length - MAX_GONE_AGENTS)) {
     draft.change('agents').delete(agent.instance)
   }
 }
--- a/packages/records/src/config/applyConfigSet.ts
+++ b/packages/records/src/config/applyConfigSet.ts
@@ -1,6 +1,6 @@
 import { checkBody, isItemName } from './parseBody.js'
 import { callerOfVersion, findModel, findService } from './selectors.js'
-import { HISTORY_BYTES, HISTORY_LENGTH, ITEM_LIMIT } from '../fold/constants.js'
+import { MAX_HISTORY_BYTES, MAX_HISTORY_LENGTH, MAX_ITEMS } from '../fold/constants.js'
 import { applied, ignored } from '../fold/outcomes.js'
 import { serviceOfTarget } from '../rights/rightId.js'
 
@@ -16,9 +16,9 @@
   if (!newest) return versions
   let length = newest.bodyJson.length
   let first = versions.length - 1
-  while (first > 0 && versions.length - first < HISTORY_LENGTH) {
+  while (first > 0 && versions.length - first < MAX_HISTORY_LENGTH) {
     length += versions[first - 1]?.bodyJson.length ?? 0
-    if (length > HISTORY_BYTES) break
+    if (length > MAX_HISTORY_BYTES) break
     first -= 1
   }
   return versions.slice(first)
@@ -41,7 +41,7 @@
   if (record.expectedVersion !== version) {
     return `version ${version} is in force, set by ${current?.operatorName ?? 'nobody'}; expected ${record.expectedVersion}`
   }
-  if (!current && state.items.size >= ITEM_LIMIT) return `there are ${ITEM_LIMIT} items already`
+  if (!current && state.items.size >= MAX_ITEMS) return `there are ${MAX_ITEMS} items already`
   if (record.bodyJson === '') return current && !current.retired ? undefined : 'there is nothing to retire'
   return checkBody(record.item, record.bodyJson)
     .caseOf({
--- a/packages/records/src/fold/constants.ts
+++ b/packages/records/src/fold/constants.ts
@@ -1,22 +1,22 @@
-/** Earlier versions kept of each item, for `history` and `rollback`. */
-export const HISTORY_LENGTH = 20
+/** Maximum number of earlier versions stored per item, for `history` and `rollback`. */
+export const MAX_HISTORY_LENGTH = 20
 
 /**
- * Bytes of earlier bodies kept of each item. Grounds: a service of 2,000 models takes up to
- * a megabyte; twenty of them would make the state outgrow a process's 256 MB. The version
- * before the present one is always kept.
+ * Maximum size of earlier bodies stored per item. A service of 2,000 models takes up to a megabyte,
+ * and twenty versions of it would make the state exceed a process's 256 MB. The version before the
+ * current one is always stored.
  */
-export const HISTORY_BYTES = 256 * 1024
+export const MAX_HISTORY_BYTES = 256 * 1024
 
-/** Items of the configuration in all, retired ones included, whose version numbers must not start again. */
-export const ITEM_LIMIT = 10_000
+/** Maximum number of configuration items, including retired ones: an item's version numbers must never restart. */
+export const MAX_ITEMS = 10_000
 
 /**
- * Record ids that the fold remembers to drop a second copy of an append.
- * Grounds: at the log's several hundred records a second this spans some seconds, longer
- * than a writer keeps trying; and most kinds are harmless when doubled anyhow.
+ * Number of record ids that the fold remembers to ignore a second copy of an append. At the log's
+ * several hundred records a second this covers some seconds, which is longer than a writer retries;
+ * besides, a second copy of most kinds of record is harmless.
  */
-export const RECENT_ID_COUNT = 2048
+export const MAX_RECENT_RECORD_IDS = 2048
 
-/** Instances that are gone and are still remembered; the oldest are forgotten first. */
-export const GONE_AGENT_LIMIT = 1000
+/** Maximum number of gone instances in the state; beyond it the oldest are deleted. */
+export const MAX_GONE_AGENTS = 1000
--- a/packages/records/src/fold/foldRecords.ts
+++ b/packages/records/src/fold/foldRecords.ts
@@ -7,7 +7,7 @@
 import { applyGrant } from '../rights/applyGrant.js'
 import { applyRelease, applyRenew, applyRevoke } from '../rights/applyRightChange.js'
 import { applySuspectAdd, applySuspectClear } from '../suspects/applySuspect.js'
-import { RECENT_ID_COUNT } from './constants.js'
+import { MAX_RECENT_RECORD_IDS } from './constants.js'
 import { openDraft } from './openDraft.js'
 import { applied, ignored } from './outcomes.js'
 
@@ -15,23 +15,23 @@
 import type { Draft } from './openDraft.js'
 import type { AgreedState, FoldInput, FoldOutcome, PlacedRecord } from './types.js'
 
-/** What becomes of a record whose id was folded before. */
-export const secondCopy: FoldOutcome = ignored('a second copy of the record')
+/** The outcome of a record whose id was folded before. */
+export const duplicateOutcome: FoldOutcome = ignored('a second copy of the record')
 
-/** A folded batch; `outcomes[i]` tells what became of the i-th record. */
+/** The result of folding a batch; `outcomes[i]` belongs to the i-th record. */
 export interface FoldResult {
   readonly state: AgreedState
   readonly outcomes: readonly FoldOutcome[]
 }
 
 // Guards against an append that the network delivers twice, or that its writer repeats because the
-// answer was lost: without it a drain that was ended since would begin again.
-const isSecondCopy = (draft: Draft, recordId: string): boolean => {
+// answer was lost: without it a drain that has ended since would begin again.
+const isDuplicate = (draft: Draft, recordId: string): boolean => {
   if (draft.state.recentRecordIds.has(recordId)) return true
   const ids = draft.change('recentRecordIds')
   ids.add(recordId)
   const [oldest] = ids
-  if (oldest !== undefined && ids.size > RECENT_ID_COUNT) ids.delete(oldest)
+  if (oldest !== undefined && ids.size > MAX_RECENT_RECORD_IDS) ids.delete(oldest)
   return false
 }
 
@@ -47,7 +47,7 @@
     .with({ kind: 'drain.set' }, record => applyDrainSet(draft, record))
     .with({ kind: 'suspect.add' }, record => applySuspectAdd(draft, record))
     .with({ kind: 'suspect.clear' }, record => applySuspectClear(draft, record))
-    // Chunks carry state to processes that have none; whoever folds has it already.
+    // Chunks carry state to processes that have none; a process that folds already has it.
     .with({ kind: 'snapshot.chunk' }, () => applied)
     .exhaustive()
 
@@ -55,17 +55,17 @@
   const { state } = draft
   if (input.offset < state.nextOffset) return ignored('folded already')
   if (input.offset > state.nextOffset) return ignored(`records from ${state.nextOffset} on are missing`)
-  // The log's clock may step back; the state's never does, or a wait after a void could end twice.
+  // The log's clock may step back but the state's must not, or the delay after a void could end twice.
   draft.step((input.offset + 1) as LogOffset, Math.max(state.asOfMs, input.appendedAtMs))
   if ('unreadable' in input) return ignored(input.unreadable)
   if (input.record.kind === 'snapshot.chunk') return applied
-  if (isSecondCopy(draft, input.record.recordId)) return secondCopy
+  if (isDuplicate(draft, input.record.recordId)) return duplicateOutcome
   return applyByKind(draft, input)
 }
 
 /**
- * Folds records in the order of the log. Records below the state's next offset are passed over,
- * and so are all after a gap. Each collection of the state is copied once for the whole batch.
+ * Folds records in the order of the log. Records below the state's next offset are ignored, and so are
+ * all records after a gap. Each collection of the state is copied at most once per batch.
  */
 export const foldRecords = (state: AgreedState, records: readonly FoldInput[]): FoldResult => {
   if (records.length === 0) return { state, outcomes: [] }
--- a/packages/records/src/fold/openDraft.ts
+++ b/packages/records/src/fold/openDraft.ts
@@ -8,20 +8,20 @@
 
 type Collection = 'items' | 'history' | 'agents' | 'rights' | 'suspects' | 'recentRecordIds'
 
-/** A state that is being changed. Each collection is copied at its first change only. */
+/** A mutable copy of a state. Each collection is copied only when it is first changed. */
 export interface Draft {
-  /** The state as changed so far; not to be kept. */
+  /** The state as changed so far; don't hold on to it, because it changes with the draft. */
   readonly state: AgreedState
-  /** The collection, free to be changed. */
+  /** Returns the draft's own copy of a collection, which may be modified. */
   readonly change: <Name extends Collection>(name: Name) => Mutable<AgreedState[Name]>
-  /** Moves on to the next record. */
+  /** Advances the state's offset and log time to the next record. */
   readonly step: (nextOffset: LogOffset, asOfMs: number) => void
 }
 
 const copyOf = (collection: AgreedState[Collection]): Mutable<AgreedState[Collection]> =>
   (collection instanceof Set ? new Set(collection) : new Map(collection as ReadonlyMap<unknown, unknown>)) as Mutable<AgreedState[Collection]>
 
-/** Opens a draft over a state that stays as it is. */
+/** Opens a draft based on a state; the state itself is not changed. */
 export const openDraft = (base: AgreedState): Draft => {
   const state: { -readonly [Key in keyof AgreedState]: AgreedState[Key] } = { ...base }
   const copied = new Set<Collection>()
--- a/packages/records/src/fold/outcomes.ts
+++ b/packages/records/src/fold/outcomes.ts
@@ -1,7 +1,7 @@
 import type { FoldOutcome } from './types.js'
 
-/** The record changed the state. */
+/** The outcome of a record that took effect. */
 export const applied: FoldOutcome = { applied: true }
 
-/** The record broke a rule and is passed over, by every process alike. */
+/** The outcome of a record that broke a rule; every process ignores it alike. */
 export const ignored = (reason: string): FoldOutcome => ({ applied: false, reason })
--- a/packages/records/src/log/createAppender.ts
+++ b/packages/records/src/log/createAppender.ts
@@ -4,7 +4,7 @@
 import {
   APPEND_BURST, APPEND_DEADLINE_MS, APPEND_QUEUE_LIMIT, APPENDS_PER_SECOND, BATCH_MAX_BYTES, BATCH_MAX_COUNT, MAX_PAYLOAD_BYTES, OUTCOMES_KEPT
 } from './constants.js'
-import { secondCopy } from '../fold/foldRecords.js'
+import { duplicateOutcome } from '../fold/foldRecords.js'
 import { encodeRecord } from './codec.js'
 import { RecordEvent } from './events.js'
 
@@ -154,7 +154,7 @@
     const known = ownOutcomes.get(recordId)
     if (known) return known
     const offset = options.findFolded(recordId)
-    return offset === undefined ? undefined : { outcome: secondCopy, offset }
+    return offset === undefined ? undefined : { outcome: duplicateOutcome, offset }
   }
 
   const remember = (recordId: string, appended: Appended): void => {
@@ -205,7 +205,7 @@
     },
     onFolded: (record, offset, outcome) => {
       if (record.writer !== options.instance) return
-      if (outcome !== secondCopy) remember(record.recordId, { outcome, offset })
+      if (outcome !== duplicateOutcome) remember(record.recordId, { outcome, offset })
       const known = ownOutcomes.get(record.recordId)
       if (known) return settle(record.recordId, Right(known))
       // The state has jumped over the first copy by a snapshot: what became of it can't be told.
