--- a/packages/records/src/log/codec.ts
+++ b/packages/records/src/log/codec.ts
@@ -10,18 +10,18 @@
 
 const packr = new Packr({ useRecords: false, moreTypes: false })
 
-/** Bodies above this length are deflated. Grounds: below it the gain is less than a packet's headers. */
-const DEFLATE_FROM_LENGTH = 512
+/** Bodies from this length on are deflated; for shorter ones the saving is less than a packet's headers. */
+const MIN_DEFLATE_LENGTH = 512
 
-/** A `config.set` whose body travels deflated. */
+/** A `config.set` record whose body is deflated for the log. */
 interface DeflatedBody {
   readonly bodyDeflated: Uint8Array
 }
 
-// A change carries the whole body of its service to every process; JSON of many like models
-// shrinks to a tenth.
+// A change carries the whole body of its service to every process, and JSON of many similar models
+// deflates to a tenth.
 const deflateBody = (record: LogRecord): LogRecord | DeflatedBody => {
-  if (record.kind !== 'config.set' || record.bodyJson.length < DEFLATE_FROM_LENGTH) return record
+  if (record.kind !== 'config.set' || record.bodyJson.length < MIN_DEFLATE_LENGTH) return record
   const { bodyJson, ...rest } = record
   return { ...rest, bodyDeflated: deflateRawSync(bodyJson) }
 }
@@ -35,10 +35,10 @@
   return { ...rest, bodyJson: inflateRawSync(bodyDeflated, { maxOutputLength: MAX_BODY_BYTES }).toString('utf8') }
 }
 
-/** The payload under which a record is appended: msgpack of its fields, long bodies deflated. */
+/** Encodes a record as the payload to append: msgpack of its fields, with long bodies deflated. */
 export const encodeRecord = (record: LogRecord): Uint8Array => packr.pack(deflateBody(record))
 
-const readFields = (payload: Uint8Array): Either<string, LogRecord> => {
+const decodeFields = (payload: Uint8Array): Either<string, LogRecord> => {
   const unpacked = Either.encase(() => inflateBody(packr.unpack(payload) as unknown))
   return unpacked.mapLeft(error => `malformed: ${error.message}`).chain(fields => {
     const result = recordSchema.safeParse(fields)
@@ -48,14 +48,14 @@
   })
 }
 
-/** Reads a payload; the Left says why it can't be read, which a kind from a newer build can't either. */
+/** Decodes a payload; the Left gives the reason if it is malformed or its kind comes from a newer build. */
 export const decodeRecord = (payload: Uint8Array): Either<string, LogRecord> =>
   payload.byteLength > MAX_PAYLOAD_BYTES
     ? Left(`longer than ${MAX_PAYLOAD_BYTES} bytes`)
-    : readFields(payload)
+    : decodeFields(payload)
 
-/** What the fold takes for a raw record; an unreadable one still takes its place in the log. */
-export const placeRecord = ({ offset, appendedAtMs, payload }: RawRecord): FoldInput =>
+/** Decodes a raw record for the fold; a record that can't be decoded still occupies its offset. */
+export const decodeRawRecord = ({ offset, appendedAtMs, payload }: RawRecord): FoldInput =>
   decodeRecord(payload).caseOf<FoldInput>({
     Left: unreadable => ({ offset, appendedAtMs, unreadable }),
     Right: record => ({ offset, appendedAtMs, record })
--- a/packages/records/src/log/createAppender.ts
+++ b/packages/records/src/log/createAppender.ts
@@ -2,7 +2,7 @@
 import { FaultKind, makeFault, sleep } from '@figmount/base'
 
 import {
-  APPEND_BURST, APPEND_DEADLINE_MS, APPEND_QUEUE_LIMIT, APPENDS_PER_SECOND, BATCH_MAX_BYTES, BATCH_MAX_COUNT, MAX_PAYLOAD_BYTES, OUTCOMES_KEPT
+  APPEND_BURST, APPEND_DEADLINE_MS, MAX_QUEUED_APPENDS, APPENDS_PER_SECOND, BATCH_MAX_BYTES, BATCH_MAX_COUNT, MAX_PAYLOAD_BYTES, MAX_REMEMBERED_OUTCOMES
 } from './constants.js'
 import { duplicateOutcome } from '../fold/foldRecords.js'
 import { encodeRecord } from './codec.js'
@@ -14,21 +14,21 @@
 import type { Jitter } from './createJitter.js'
 import type { PlatformLogCalls } from './openLog.js'
 
-/** Where an appended record stands in the log and what the fold made of it. */
-export interface Appended {
+/** The offset of an appended record and its outcome in the fold. */
+export interface AppendResult {
   readonly outcome: FoldOutcome
   readonly offset: LogOffset
 }
 
-interface Waiting {
+interface PendingAppend {
   readonly record: LogRecord
   readonly payload: Uint8Array
-  readonly settle: (result: Either<Fault, Appended>) => void
-  /** `queued`: the next call is to carry it. `sent`: a call carries it or has carried it. */
+  readonly settle: (result: Either<Fault, AppendResult>) => void
+  /** `queued`: the next call will include it. `sent`: a call in flight or an earlier one included it. */
   readonly status: 'queued' | 'sent'
-  /** True once a call has carried it, even if it is queued again: it may be in the log. */
+  /** True once a call has included it, even if it is queued again: it may be in the log. */
   readonly wasSent: boolean
-  /** Monotonic time at which a call that carried it failed; undefined while none has. */
+  /** Monotonic time at which a call that included it failed; undefined if none has. */
   readonly failedAtMs?: number
 }
 
@@ -42,25 +42,25 @@
   readonly jitter: Jitter
   readonly appendsPerSecond?: number
   readonly onAppended: (nextOffset: LogOffset) => void
-  /** Whether a record with this id has been folded lately, and up to which offset. */
+  /** The offset up to which the state is folded, if a record with this id was folded recently. */
   readonly findFolded: (recordId: string) => LogOffset | undefined
 }
 
-/** Appends records in batches and tells each writer what became of its record. */
+/** Appends records in batches and returns each record's outcome to its writer. */
 export interface Appender {
-  readonly append: (record: LogRecord) => EitherAsync<Fault, Appended>
-  /** A record was folded here, from the log or from a peer. */
+  readonly append: (record: LogRecord) => EitherAsync<Fault, AppendResult>
+  /** Must be called when this process has folded a record, from the log or from a peer. */
   readonly onFolded: (record: LogRecord, offset: LogOffset, outcome: FoldOutcome) => void
-  /** A read sent at this monotonic time has reached the head. */
+  /** Must be called when a read sent at this monotonic time has reached the head. */
   readonly onConfirmed: (sentAtMs: number) => void
   readonly stop: () => void
 }
 
-/** Starts the appender. One call is in flight at a time; what comes meanwhile shares the next. */
+/** Starts the appender. One call is in flight at a time; records that arrive meanwhile share the next. */
 export const createAppender = (options: Options): Appender => {
   const { log, address, timers, events, metrics } = options
-  const waiting = new Map<string, Waiting>()
-  const ownOutcomes = new Map<string, Appended>()
+  const pending = new Map<string, PendingAppend>()
+  const ownOutcomes = new Map<string, AppendResult>()
   const stopping = new AbortController()
   const perSecond = options.appendsPerSecond ?? APPENDS_PER_SECOND
   let tokens = APPEND_BURST
@@ -69,25 +69,25 @@
 
   const fault = (kind: FaultKind, message: string): Fault => makeFault(kind, 'records.append', address, message)
 
-  const settle = (recordId: string, result: Either<Fault, Appended>): void => {
-    const entry = waiting.get(recordId)
+  const settle = (recordId: string, result: Either<Fault, AppendResult>): void => {
+    const entry = pending.get(recordId)
     if (!entry) return
-    waiting.delete(recordId)
+    pending.delete(recordId)
     entry.settle(result)
   }
 
   const expire = (recordId: string): void => {
-    const entry = waiting.get(recordId)
+    const entry = pending.get(recordId)
     if (!entry) return
     if (!entry.wasSent) return settle(recordId, Left(fault(FaultKind.Unavailable, 'not appended, the log did not take it in time')))
     events.emit(RecordEvent.appendUnknown, { detail: entry.record.kind, step: 'records.append', peer: address })
     settle(recordId, Left(fault(FaultKind.Timeout, 'outcome unknown, the log did not answer in time')))
   }
 
-  const takeBatch = (): readonly Waiting[] => {
-    const batch: Waiting[] = []
+  const collectBatch = (): readonly PendingAppend[] => {
+    const batch: PendingAppend[] = []
     let bytes = 0
-    for (const entry of waiting.values()) {
+    for (const entry of pending.values()) {
       if (entry.status !== 'queued') continue
       bytes += entry.payload.byteLength
       if (batch.length >= BATCH_MAX_COUNT || (batch.length > 0 && bytes > BATCH_MAX_BYTES)) break
@@ -96,16 +96,16 @@
     return batch
   }
 
-  const mark = (batch: readonly Waiting[], change: Partial<Waiting>): void => {
+  const updateEntries = (batch: readonly PendingAppend[], change: Partial<PendingAppend>): void => {
     for (const { record: { recordId } } of batch) {
-      const entry = waiting.get(recordId)
-      if (entry) waiting.set(recordId, { ...entry, ...change })
+      const entry = pending.get(recordId)
+      if (entry) pending.set(recordId, { ...entry, ...change })
     }
   }
 
   const waitForWork = async (): Promise<void> => await new Promise(resolve => { wake = resolve })
 
-  const waitForBudget = async (): Promise<void> => {
+  const waitForRateLimit = async (): Promise<void> => {
     const nowMs = timers.nowMs()
     tokens = Math.min(APPEND_BURST, tokens + (nowMs - refilledAtMs) * perSecond / 1000)
     refilledAtMs = nowMs
@@ -113,8 +113,8 @@
     if (tokens < 0) await sleep(timers, -tokens * 1000 / perSecond, stopping.signal)
   }
 
-  const sendBatch = async (batch: readonly Waiting[]): Promise<boolean> => {
-    mark(batch, { status: 'sent', wasSent: true })
+  const sendBatch = async (batch: readonly PendingAppend[]): Promise<boolean> => {
+    updateEntries(batch, { status: 'sent', wasSent: true })
     metrics.count('records_append_calls')
     metrics.count('records_append_records', batch.length)
     const sentAtMs = timers.nowMs()
@@ -127,7 +127,7 @@
       },
       Left: () => {
         metrics.count('records_append_faults')
-        mark(batch, { failedAtMs: timers.nowMs() })
+        updateEntries(batch, { failedAtMs: timers.nowMs() })
         return false
       }
     })
@@ -136,12 +136,12 @@
   const run = async (): Promise<void> => {
     let failureCount = 0
     while (!stopping.signal.aborted) {
-      if (takeBatch().length === 0) {
+      if (collectBatch().length === 0) {
         await waitForWork()
         continue
       }
-      await waitForBudget()
-      const batch = takeBatch()
+      await waitForRateLimit()
+      const batch = collectBatch()
       if (batch.length === 0) continue
       const sent = await sendBatch(batch)
       failureCount = sent ? 0 : failureCount + 1
@@ -149,47 +149,47 @@
     }
   }
 
-  // A writer may ask again under the id of a record whose answer came too late for it.
-  const findOutcome = (recordId: string): Appended | undefined => {
+  // A writer may append again under the same record id after its first append timed out.
+  const findOutcome = (recordId: string): AppendResult | undefined => {
     const known = ownOutcomes.get(recordId)
     if (known) return known
     const offset = options.findFolded(recordId)
     return offset === undefined ? undefined : { outcome: duplicateOutcome, offset }
   }
 
-  const remember = (recordId: string, appended: Appended): void => {
-    ownOutcomes.set(recordId, appended)
+  const rememberOutcome = (recordId: string, result: AppendResult): void => {
+    ownOutcomes.set(recordId, result)
     const [oldest] = ownOutcomes.keys()
-    if (oldest !== undefined && ownOutcomes.size > OUTCOMES_KEPT) ownOutcomes.delete(oldest)
+    if (oldest !== undefined && ownOutcomes.size > MAX_REMEMBERED_OUTCOMES) ownOutcomes.delete(oldest)
   }
 
-  const enqueue = async (record: LogRecord): Promise<Either<Fault, Appended>> => {
+  const enqueue = async (record: LogRecord): Promise<Either<Fault, AppendResult>> => {
     const known = findOutcome(record.recordId)
     if (known) return Right(known)
     if (stopping.signal.aborted) return Left(fault(FaultKind.Unavailable, 'not appended, the process stops'))
-    if (waiting.has(record.recordId)) return Left(fault(FaultKind.Conflict, `record ${record.recordId} is being appended`))
-    if (waiting.size >= APPEND_QUEUE_LIMIT) return Left(fault(FaultKind.Exhausted, 'not appended, too many records wait'))
+    if (pending.has(record.recordId)) return Left(fault(FaultKind.Conflict, `record ${record.recordId} is being appended`))
+    if (pending.size >= MAX_QUEUED_APPENDS) return Left(fault(FaultKind.Exhausted, 'not appended, too many records wait'))
     const payload = encodeRecord(record)
     if (payload.byteLength > MAX_PAYLOAD_BYTES) return Left(fault(FaultKind.Invalid, `longer than ${MAX_PAYLOAD_BYTES} bytes`))
     return await new Promise(resolve => {
       const cancel = timers.after(APPEND_DEADLINE_MS, () => expire(record.recordId))
-      const finish = (result: Either<Fault, Appended>): void => {
+      const finish = (result: Either<Fault, AppendResult>): void => {
         cancel()
         resolve(result)
       }
-      waiting.set(record.recordId, { record, payload, status: 'queued', wasSent: false, settle: finish })
+      pending.set(record.recordId, { record, payload, status: 'queued', wasSent: false, settle: finish })
       wake?.()
     })
   }
 
-  // Guards against a write that took effect although its answer was lost. Until a read sent after
-  // the failure has reached the head nothing is known; if the record is not there by then it is
-  // sent again under the same id. Should the first copy arrive after all, the fold drops one.
+  // Guards against a write that took effect although its answer was lost. Its outcome is unknown until a read
+  // sent after the failure has reached the head; if the record is not in the log by then, it is sent
+  // again under the same id. If the first copy arrives after all, the fold ignores the second.
   const onConfirmed = (sentAtMs: number): void => {
-    for (const entry of [...waiting.values()]) {
+    for (const entry of [...pending.values()]) {
       if (entry.failedAtMs === undefined || entry.failedAtMs > sentAtMs) continue
       const { failedAtMs, ...rest } = entry
-      waiting.set(entry.record.recordId, { ...rest, status: 'queued' })
+      pending.set(entry.record.recordId, { ...rest, status: 'queued' })
       metrics.count('records_append_repeats')
       wake?.()
     }
@@ -199,23 +199,23 @@
 
   return {
     append: record => {
-      // Begun at once: an EitherAsync that nobody awaits would otherwise never append.
+      // Started at once: a lazy EitherAsync that is never awaited would not append.
       const result = enqueue(record)
       return EitherAsync.fromPromise(async () => await result)
     },
     onFolded: (record, offset, outcome) => {
       if (record.writer !== options.instance) return
-      if (outcome !== duplicateOutcome) remember(record.recordId, { outcome, offset })
+      if (outcome !== duplicateOutcome) rememberOutcome(record.recordId, { outcome, offset })
       const known = ownOutcomes.get(record.recordId)
       if (known) return settle(record.recordId, Right(known))
-      // The state has jumped over the first copy by a snapshot: what became of it can't be told.
+      // The state skipped the first copy by adopting a snapshot, so the outcome can't be determined.
       expire(record.recordId)
     },
     onConfirmed,
     stop: () => {
       stopping.abort()
       wake?.()
-      for (const recordId of [...waiting.keys()]) expire(recordId)
+      for (const recordId of [...pending.keys()]) expire(recordId)
     }
   }
 }
--- a/packages/records/src/log/createFollower.test.ts
+++ b/packages/records/src/log/createFollower.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 
-import { encodeRecord, placeRecord } from './codec.js'
+import { encodeRecord, decodeRawRecord } from './codec.js'
 import { NOT_IN_LOG } from './constants.js'
 import { createFollower } from './createFollower.js'
 import { applyRecord } from '../fold/applyRecord.js'
@@ -16,14 +16,14 @@
 const writer = 'r1' as InstanceName
 const RECORD_COUNT = 60
 
-/** A log with configuration, agents, rights, doubles, nonsense and a snapshot now and then, and its state at each offset. */
+/** Builds a log of configuration, agents, rights, ignored and unreadable records and snapshots, with its state at each offset. */
 const buildLog = (): { readonly records: readonly RawRecord[], readonly states: readonly AgreedState[] } => {
   const records: RawRecord[] = []
   const states: AgreedState[] = [emptyState]
   const push = (payload: Uint8Array): void => {
     const raw = { offset: records.length as LogOffset, appendedAtMs: records.length * 1000, payload }
     records.push(raw)
-    states.push(applyRecord(states.at(-1) ?? emptyState, placeRecord(raw)).state)
+    states.push(applyRecord(states.at(-1) ?? emptyState, decodeRawRecord(raw)).state)
   }
   const pushRecord = (record: LogRecord): void => push(encodeRecord(record))
   for (let index = 0; records.length < RECORD_COUNT; index += 1) {
@@ -41,7 +41,7 @@
 
 const { records, states } = buildLog()
 
-const syntheticAt = (offset: number): readonly RawRecord[] =>
+const peerSnapshotAt = (offset: number): readonly RawRecord[] =>
   splitSnapshot(states[offset] ?? emptyState, `p${offset}`).map(chunk =>
     ({ offset: NOT_IN_LOG, appendedAtMs: 0, payload: encodeRecord({ ...chunk, recordId: `p${offset}`, writer }) }))
 
@@ -52,10 +52,10 @@
 })
 
 describe('follower', () => {
-  it('has the state of some offset of the log at every moment, and never an earlier one', () => {
-    // A process hears of records from the log, from a copy of it that lags, from peers, late,
-    // twice and with gaps, after some have expired. Whatever it is at, an operator must find the
-    // configuration that the log had at one moment, and never an older one than before.
+  it('always has the state of some offset of the log and never goes back to an earlier one', () => {
+    // A process receives records from the log, from a copy of it that lags and from peers: late, twice, with gaps,
+    // and after some have expired. At any time an operator must see the configuration as it was in the log
+    // at one moment, and never an older one than before.
     fc.assert(fc.property(fc.array(anyDelivery, { minLength: 1, maxLength: 30 }), deliveries => {
       const follower = createFollower({ onFolded: () => {}, onRebuilt: () => {}, onSnapshotRefused: () => {}, onSnapshotSeen: () => {} })
       let oldest = 0
@@ -66,7 +66,7 @@
         if (origin === 'log') follower.takeFromLog(records.slice(readFrom, readFrom + count), oldest as LogOffset)
         if (origin === 'staleLog') follower.takeFromLog(records.slice(from, from + count), 0 as LogOffset)
         if (origin === 'peerTail') follower.takeFromPeer(records.slice(from, from + count))
-        if (origin === 'peerSnapshot') follower.takeFromPeer(syntheticAt(from))
+        if (origin === 'peerSnapshot') follower.takeFromPeer(peerSnapshotAt(from))
         expect(follower.state().nextOffset).to.be.at.least(before)
         expect(follower.state()).to.deep.equal(states[follower.state().nextOffset])
       }
--- a/packages/records/src/log/createFollower.ts
+++ b/packages/records/src/log/createFollower.ts
@@ -1,7 +1,7 @@
 import { emptyState } from '../fold/emptyState.js'
 import { foldRecords } from '../fold/foldRecords.js'
 import { gatherChunk, nothingGathered } from '../snapshot/gatherChunks.js'
-import { placeRecord } from './codec.js'
+import { decodeRawRecord } from './codec.js'
 import { NOT_IN_LOG, PENDING_MAX_BYTES } from './constants.js'
 
 import type { LogOffset } from '@figmount/base'
@@ -9,70 +9,70 @@
 import type { SnapshotChunk } from '../snapshot/splitSnapshot.js'
 import type { RawRecord } from './types.js'
 
-/** What a follower tells of its progress. */
-export interface FollowerEvents {
+/** Callbacks of a follower. */
+export interface FollowerCallbacks {
   /** Records were folded; `outcomes[i]` belongs to `records[i]`. */
   readonly onFolded: (records: readonly FoldInput[], outcomes: readonly FoldOutcome[], raw: readonly RawRecord[]) => void
-  /** The state jumped forward to a snapshot. */
+  /** The state was replaced by a later one from a snapshot. */
   readonly onRebuilt: (state: AgreedState, from: 'log' | 'peer') => void
   readonly onSnapshotRefused: (mistake: string) => void
-  /** A snapshot of the log is complete, whether or not it was needed. */
+  /** A complete snapshot was read from the log, whether or not it was needed. */
   readonly onSnapshotSeen: (baseOffset: LogOffset, completedAtMs: number) => void
 }
 
 /**
- * Follows the log from raw records of any origin: the log, peers, snapshots of either.
- * The state only goes forward: what lies below its next offset is passed over.
+ * Follows the log from raw records of any origin: the log, peers, and snapshots from either.
+ * The state only advances: records below its next offset are ignored.
  */
 export interface Follower {
   readonly state: () => AgreedState
-  /** The offset from which the log is to be read. */
+  /** The offset from which to read the log next. */
   readonly position: () => LogOffset
-  /** True while records are missing between the state and the log's oldest record. */
+  /** True while records between the state and the log's oldest record are missing. */
   readonly isBlocked: () => boolean
-  /** Takes records of the log in order, from `position` on; `oldestOffset` is the log's. */
+  /** Applies records of the log in order, from `position` on; `oldestOffset` is the log's oldest offset. */
   readonly takeFromLog: (records: readonly RawRecord[], oldestOffset: LogOffset) => void
   readonly takeFromPeer: (records: readonly RawRecord[]) => void
 }
 
-interface ReadRecord {
+interface DecodedRecord {
   readonly raw: RawRecord
   readonly input: FoldInput
 }
 
-const readOne = (raw: RawRecord): ReadRecord => ({ raw, input: placeRecord(raw) })
+const decodeOne = (raw: RawRecord): DecodedRecord => ({ raw, input: decodeRawRecord(raw) })
 
 const chunkOf = (input: FoldInput): SnapshotChunk | undefined =>
   'record' in input && input.record.kind === 'snapshot.chunk' ? input.record : undefined
 
-/** The records that follow an offset without a gap, doubles and earlier ones left out. */
-const consecutiveFrom = (records: readonly ReadRecord[], nextOffset: LogOffset): readonly ReadRecord[] => {
-  const chosen: ReadRecord[] = []
+/** The records that follow an offset without a gap, without duplicates and earlier ones. */
+const consecutiveFrom = (records: readonly DecodedRecord[], nextOffset: LogOffset): readonly DecodedRecord[] => {
+  const chosen: DecodedRecord[] = []
   for (const record of records) {
     if (record.raw.offset === nextOffset + chosen.length) chosen.push(record)
   }
   return chosen
 }
 
-/** Makes a follower that has read nothing. */
-export const createFollower = (events: FollowerEvents): Follower => {
+/** Creates a follower with the empty state. */
+export const createFollower = (callbacks: FollowerCallbacks): Follower => {
   let state = emptyState
-  let fromLog = nothingGathered
-  let fromPeers = nothingGathered
+  let logGathering = nothingGathered
+  let peerGathering = nothingGathered
   // Records of the log that can't be folded yet because earlier ones have expired.
-  let pending: ReadRecord[] = []
+  let pending: DecodedRecord[] = []
   let pendingBytes = 0
-  let blocked = false
+  let isBlocked = false
   let position = emptyState.nextOffset
 
-  const fold = (records: readonly ReadRecord[]): void => {
-    const due = consecutiveFrom(records, state.nextOffset)
-    if (due.length === 0) return
-    const inputs = due.map(({ input }) => input)
+  const fold = (records: readonly DecodedRecord[]): void => {
+    const consecutive = consecutiveFrom(records, state.nextOffset)
+    if (consecutive.length === 0) return
+    const inputs = consecutive.map(({ input }) => input)
     const folded = foldRecords(state, inputs)
     state = folded.state
-    if (!blocked) position = state.nextOffset
-    events.onFolded(inputs, folded.outcomes, due.map(({ raw }) => raw))
+    if (!isBlocked) position = state.nextOffset
+    callbacks.onFolded(inputs, folded.outcomes, consecutive.map(({ raw }) => raw))
   }
 
   const unblock = (): void => {
@@ -80,76 +80,76 @@
     const records = pending
     pending = []
     pendingBytes = 0
-    blocked = false
+    isBlocked = false
     position = state.nextOffset
     fold(records)
   }
 
-  const adopt = (snapshot: AgreedState, from: 'log' | 'peer'): void => {
+  const adoptSnapshot = (snapshot: AgreedState, from: 'log' | 'peer'): void => {
     if (snapshot.nextOffset <= state.nextOffset) return
     state = snapshot
-    events.onRebuilt(state, from)
-    if (!blocked) position = state.nextOffset
-    if (blocked) unblock()
+    callbacks.onRebuilt(state, from)
+    if (!isBlocked) position = state.nextOffset
+    if (isBlocked) unblock()
   }
 
-  const keepPending = (record: ReadRecord): void => {
+  const addPending = (record: DecodedRecord): void => {
     pending.push(record)
     pendingBytes += record.raw.payload.byteLength
-    // Guards against a log without a complete snapshot: waiting for one must not fill the memory.
+    // Guards against a log without a complete snapshot: waiting for one must not exhaust memory.
     while (pendingBytes > PENDING_MAX_BYTES) pendingBytes -= pending.shift()?.raw.payload.byteLength ?? 0
   }
 
-  // A snapshot whose base has expired as well can't be brought up to date from the log.
+  // A snapshot is useless if the first record after it has expired as well: the log can't bring it up to date.
   const isUsable = (snapshot: AgreedState): boolean =>
-    blocked && snapshot.nextOffset >= (pending[0]?.raw.offset ?? Infinity)
+    isBlocked && snapshot.nextOffset >= (pending[0]?.raw.offset ?? Infinity)
 
   const gatherFromLog = (chunk: SnapshotChunk, completedAtMs: number): void => {
-    const result = gatherChunk(fromLog, chunk, blocked)
-    fromLog = result.gathering
-    if (result.mistake) events.onSnapshotRefused(result.mistake)
-    if (result.isComplete) events.onSnapshotSeen(chunk.baseOffset, completedAtMs)
-    if (result.state && isUsable(result.state)) adopt(result.state, 'log')
+    const result = gatherChunk(logGathering, chunk, isBlocked)
+    logGathering = result.gathering
+    if (result.mistake) callbacks.onSnapshotRefused(result.mistake)
+    if (result.isComplete) callbacks.onSnapshotSeen(chunk.baseOffset, completedAtMs)
+    if (result.state && isUsable(result.state)) adoptSnapshot(result.state, 'log')
   }
 
   const takeFromLog = (records: readonly RawRecord[], oldestOffset: LogOffset): void => {
     if (oldestOffset > position) {
-      blocked = true
+      isBlocked = true
       pending = []
       pendingBytes = 0
-      fromLog = nothingGathered
+      logGathering = nothingGathered
       position = oldestOffset
     }
-    const read = records.filter(raw => raw.offset >= position).map(readOne)
-    if (!blocked) fold(read)
-    for (const record of read) {
-      if (blocked) {
-        keepPending(record)
+    const decoded = records.filter(raw => raw.offset >= position).map(decodeOne)
+    if (!isBlocked) fold(decoded)
+    for (const record of decoded) {
+      if (isBlocked) {
+        addPending(record)
         position = (record.raw.offset + 1) as LogOffset
       }
       const chunk = chunkOf(record.input)
       if (chunk) gatherFromLog(chunk, record.raw.appendedAtMs)
     }
-    // What came behind the chunk that completed a snapshot.
-    if (!blocked) fold(read)
+    // Folds the records after the chunk that completed a snapshot.
+    if (!isBlocked) fold(decoded)
   }
 
   const takeFromPeer = (records: readonly RawRecord[]): void => {
-    const tail: ReadRecord[] = []
-    for (const record of records.map(readOne)) {
+    const tail: DecodedRecord[] = []
+    for (const record of records.map(decodeOne)) {
       const chunk = chunkOf(record.input)
       if (!chunk || record.raw.offset !== NOT_IN_LOG) {
         tail.push(record)
         continue
       }
-      const result = gatherChunk(fromPeers, chunk, chunk.baseOffset > state.nextOffset)
-      fromPeers = result.gathering
-      if (result.mistake) events.onSnapshotRefused(result.mistake)
-      if (result.state) adopt(result.state, 'peer')
+      const result = gatherChunk(peerGathering, chunk, chunk.baseOffset > state.nextOffset)
+      peerGathering = result.gathering
+      if (result.mistake) callbacks.onSnapshotRefused(result.mistake)
+      if (result.state) adoptSnapshot(result.state, 'peer')
     }
     fold(tail)
-    if (blocked) unblock()
+    if (isBlocked) unblock()
   }
 
-  return { state: () => state, position: () => position, isBlocked: () => blocked, takeFromLog, takeFromPeer }
+  return { state: () => state, position: () => position, isBlocked: () => isBlocked, takeFromLog, takeFromPeer }
 }
--- a/packages/records/src/log/createPeerSource.ts
+++ b/packages/records/src/log/createPeerSource.ts
@@ -1,4 +1,4 @@
-import { NOT_IN_LOG, OFFER_MAX_BYTES, PEER_SNAPSHOT_MS } from './constants.js'
+import { NOT_IN_LOG, PEER_ANSWER_MAX_BYTES, PEER_SNAPSHOT_LIFETIME_MS } from './constants.js'
 import { encodeRecord } from './codec.js'
 import { splitSnapshot } from '../snapshot/splitSnapshot.js'
 
@@ -15,49 +15,49 @@
   readonly nextId: () => string
 }
 
-interface Prepared {
+interface PeerSnapshot {
   readonly chunks: readonly RawRecord[]
   readonly madeAtMs: number
   readonly baseOffset: LogOffset
 }
 
 /**
- * Answers peers that are behind. Whoever asks for records that are no longer kept, or for the
- * first one, gets a snapshot of the present state in chunks that never were in the log (their
- * offset is NOT_IN_LOG), and asks for the rest from the snapshot's base on.
+ * Answers peers that are behind. A peer that requests records that are no longer buffered, or the first
+ * record, gets chunks of a snapshot of the current state. These never were in the log (their offset
+ * is NOT_IN_LOG); the peer requests the remaining records from the snapshot's base on.
  */
 export const createPeerSource = ({ instance, timers, state, buffer, nextId }: Options): ((fromOffset: LogOffset, maxCount: number) => readonly RawRecord[]) => {
-  let prepared: Prepared | undefined
+  let snapshot: PeerSnapshot | undefined
   let nextIndex = 0
 
-  const prepare = (): Prepared => {
-    const present = state()
+  const makeSnapshot = (): PeerSnapshot => {
+    const current = state()
     const snapshotId = nextId()
-    const chunks = splitSnapshot(present, snapshotId).map((chunk): RawRecord => ({
+    const chunks = splitSnapshot(current, snapshotId).map((chunk): RawRecord => ({
       offset: NOT_IN_LOG,
-      appendedAtMs: present.asOfMs,
+      appendedAtMs: current.asOfMs,
       payload: encodeRecord({ ...chunk, recordId: `${snapshotId}.${chunk.index}`, writer: instance })
     }))
-    return { chunks, madeAtMs: timers.nowMs(), baseOffset: present.nextOffset }
+    return { chunks, madeAtMs: timers.nowMs(), baseOffset: current.nextOffset }
   }
 
-  const isCurrent = (made: Prepared): boolean =>
-    timers.nowMs() - made.madeAtMs < PEER_SNAPSHOT_MS && buffer.from(made.baseOffset, 1, 1) !== undefined
+  const isCurrent = (candidate: PeerSnapshot): boolean =>
+    timers.nowMs() - candidate.madeAtMs < PEER_SNAPSHOT_LIFETIME_MS && buffer.from(candidate.baseOffset, 1, 1) !== undefined
 
-  // A large snapshot takes several answers. Each goes on where the last one ended and begins
-  // anew after the end, so that peers that ask in turn all see every chunk sooner or later.
+  // A large snapshot takes several answers. Each answer continues where the last one ended and wraps around
+  // at the end, so that peers whose requests alternate all receive every chunk eventually.
   const nextChunks = (maxCount: number): readonly RawRecord[] => {
-    if (!prepared || !isCurrent(prepared)) {
-      prepared = prepare()
+    if (!snapshot || !isCurrent(snapshot)) {
+      snapshot = makeSnapshot()
       nextIndex = 0
     }
-    const { chunks } = prepared
+    const { chunks } = snapshot
     const chosen: RawRecord[] = []
     let bytes = 0
     while (chosen.length < Math.min(maxCount, chunks.length)) {
       const chunk = chunks[nextIndex % chunks.length]
       bytes += chunk?.payload.byteLength ?? 0
-      if (!chunk || (chosen.length > 0 && bytes > OFFER_MAX_BYTES)) break
+      if (!chunk || (chosen.length > 0 && bytes > PEER_ANSWER_MAX_BYTES)) break
       chosen.push(chunk)
       nextIndex += 1
     }
@@ -66,7 +66,7 @@
 
   return (fromOffset, maxCount) => {
     if (fromOffset >= state().nextOffset) return []
-    const kept = fromOffset === 0 ? undefined : buffer.from(fromOffset, maxCount, OFFER_MAX_BYTES)
-    return kept ?? nextChunks(maxCount)
+    const recent = fromOffset === 0 ? undefined : buffer.from(fromOffset, maxCount, PEER_ANSWER_MAX_BYTES)
+    return recent ?? nextChunks(maxCount)
   }
 }
--- a/packages/records/src/log/createRawBuffer.ts
+++ b/packages/records/src/log/createRawBuffer.ts
@@ -1,48 +1,48 @@
-import { RECENT_RAW_BYTES, RECENT_RAW_COUNT } from './constants.js'
+import { RAW_BUFFER_MAX_BYTES, RAW_BUFFER_MAX_COUNT } from './constants.js'
 
 import type { LogOffset } from '@figmount/base'
 import type { RawRecord } from './types.js'
 
-/** The latest records as raw bytes, without gaps, bounded by count and bytes. */
+/** The latest raw records without gaps, limited by count and size. */
 export interface RawBuffer {
-  /** Takes the next record; one that does not follow the last starts the buffer anew. */
+  /** Adds the next record; a record that does not directly follow the last one empties the buffer first. */
   readonly push: (record: RawRecord) => void
-  /** Records from an offset on, or undefined if the first of them is no longer kept. */
+  /** Records from an offset on; undefined if the first of them is no longer buffered. */
   readonly from: (offset: LogOffset, maxCount: number, maxBytes: number) => readonly RawRecord[] | undefined
 }
 
-/** Makes an empty buffer. */
+/** Creates an empty buffer. */
 export const createRawBuffer = (): RawBuffer => {
-  let kept: RawRecord[] = []
-  let keptBytes = 0
+  let buffered: RawRecord[] = []
+  let bufferedBytes = 0
 
   const dropOldest = (): void => {
     let dropCount = 0
-    while (kept.length - dropCount > RECENT_RAW_COUNT || keptBytes > RECENT_RAW_BYTES) {
-      keptBytes -= kept[dropCount]?.payload.byteLength ?? 0
+    while (buffered.length - dropCount > RAW_BUFFER_MAX_COUNT || bufferedBytes > RAW_BUFFER_MAX_BYTES) {
+      bufferedBytes -= buffered[dropCount]?.payload.byteLength ?? 0
       dropCount += 1
     }
-    kept = kept.slice(dropCount)
+    buffered = buffered.slice(dropCount)
   }
 
   return {
     push: record => {
-      const last = kept.at(-1)
+      const last = buffered.at(-1)
       if (last && record.offset !== last.offset + 1) {
-        kept = []
-        keptBytes = 0
+        buffered = []
+        bufferedBytes = 0
       }
-      kept.push(record)
-      keptBytes += record.payload.byteLength
-      // A quarter above the bound, so that dropping does not copy the array for each record.
-      if (kept.length > RECENT_RAW_COUNT * 1.25 || keptBytes > RECENT_RAW_BYTES * 1.25) dropOldest()
+      buffered.push(record)
+      bufferedBytes += record.payload.byteLength
+      // Exceeds the limits by a quarter before dropping, so that the array is not copied for each record.
+      if (buffered.length > RAW_BUFFER_MAX_COUNT * 1.25 || bufferedBytes > RAW_BUFFER_MAX_BYTES * 1.25) dropOldest()
     },
     from: (offset, maxCount, maxBytes) => {
-      const first = kept[0]
+      const first = buffered[0]
       if (!first || offset < first.offset) return undefined
       const chosen: RawRecord[] = []
       let bytes = 0
-      for (const record of kept.slice(offset - first.offset, offset - first.offset + maxCount)) {
+      for (const record of buffered.slice(offset - first.offset, offset - first.offset + maxCount)) {
         bytes += record.payload.byteLength
         if (chosen.length > 0 && bytes > maxBytes) break
         chosen.push(record)
--- a/packages/records/src/log/createReader.ts
+++ b/packages/records/src/log/createReader.ts
@@ -1,6 +1,6 @@
 import { sleep } from '@figmount/base'
 
-import { READ_GAP_MS, READ_WAIT_MS } from './constants.js'
+import { MIN_READ_INTERVAL_MS, READ_WAIT_MS } from './constants.js'
 import { RecordEvent } from './events.js'
 
 import type { EventLog, Fault, LogOffset, Metrics, TimerService } from '@figmount/base'
@@ -16,59 +16,59 @@
   readonly metrics: Metrics
   readonly jitter: Jitter
   readonly follower: Follower
-  /** The greatest head known, from own appends and from peers. */
+  /** The greatest known head of the log, from own appends and from peers. */
   readonly knownHead: () => LogOffset
-  /** A read sent at this time reached the head, nothing missing. */
+  /** Called when a read sent at this time has reached the head and no records are missing. */
   readonly onConfirmed: (sentAtMs: number) => void
 }
 
-/** Reads the log until stopped: one long poll after another. */
+/** Reads the log in long polls until stopped. */
 export const createReader = (options: Options): { readonly stop: () => void } => {
   const { log, address, timers, events, metrics, follower } = options
   const stopping = new AbortController()
-  let reached = false
-  let lost = false
-  let reportedBlocked = false
+  let hasReachedHead = false
+  let isLost = false
+  let hasReportedBlocked = false
 
   const reportLost = (fault: Fault): void => {
     metrics.count('records_read_faults')
-    if (lost) return
-    lost = true
+    if (isLost) return
+    isLost = true
     events.emit(RecordEvent.logLost, { peer: fault.peer, step: fault.step, reason: fault.message, offset: follower.position() })
   }
 
   const reportReached = (): void => {
-    if (reached && !lost) return
-    reached = true
-    lost = false
+    if (hasReachedHead && !isLost) return
+    hasReachedHead = true
+    isLost = false
     events.emit(RecordEvent.logReached, { peer: address, offset: follower.position() })
   }
 
   const reportBlocked = (): void => {
-    if (reportedBlocked) return
-    reportedBlocked = true
+    if (hasReportedBlocked) return
+    hasReportedBlocked = true
     events.emit(RecordEvent.rebuildBlocked, { peer: address, offset: follower.state().nextOffset })
   }
 
-  const take = (read: LogRead, sentAtMs: number, headAtSend: LogOffset): boolean => {
-    const before = follower.position()
-    // Guards against a copy of the log that lags behind: it shows an older head than is known to
-    // exist, so an agent that trusted it would take a right that was revoked for its own.
+  const applyRead = (read: LogRead, sentAtMs: number, headAtSend: LogOffset): boolean => {
+    const previousPosition = follower.position()
+    // Guards against a copy of the log that lags behind: it returns a head older than one already seen, and an
+    // agent that took it for current would act on a right that has been revoked.
     if (read.headOffset < headAtSend) {
       events.emit(RecordEvent.staleRead, { peer: address, offset: read.headOffset })
       follower.takeFromLog(read.records, 0 as LogOffset)
-      return follower.position() > before
+      return follower.position() > previousPosition
     }
     follower.takeFromLog(read.records, read.oldestOffset)
-    const moved = follower.position() !== before
-    const atHead = follower.position() >= read.headOffset
-    if (atHead && follower.isBlocked()) reportBlocked()
-    if (atHead && !follower.isBlocked()) {
-      reportedBlocked = false
+    const hasMoved = follower.position() !== previousPosition
+    const isAtHead = follower.position() >= read.headOffset
+    if (isAtHead && follower.isBlocked()) reportBlocked()
+    if (isAtHead && !follower.isBlocked()) {
+      hasReportedBlocked = false
       options.onConfirmed(sentAtMs)
       reportReached()
     }
-    return moved || atHead
+    return hasMoved || isAtHead
   }
 
   const readOnce = async (): Promise<boolean> => {
@@ -82,7 +82,7 @@
         reportLost(fault)
         return false
       },
-      Right: read => take(read, sentAtMs, headAtSend)
+      Right: read => applyRead(read, sentAtMs, headAtSend)
     })
   }
 
@@ -90,10 +90,10 @@
     let failureCount = 0
     while (!stopping.signal.aborted) {
       const startedAtMs = timers.nowMs()
-      const progressed = await readOnce()
-      failureCount = progressed ? 0 : failureCount + 1
-      const restMs = startedAtMs + READ_GAP_MS - timers.nowMs()
-      const pauseMs = progressed ? restMs : options.jitter(failureCount - 1)
+      const hasProgressed = await readOnce()
+      failureCount = hasProgressed ? 0 : failureCount + 1
+      const remainingMs = startedAtMs + MIN_READ_INTERVAL_MS - timers.nowMs()
+      const pauseMs = hasProgressed ? remainingMs : options.jitter(failureCount - 1)
       if (pauseMs > 0) await sleep(timers, pauseMs, stopping.signal)
     }
   }
--- a/packages/records/src/log/createRecordsClient.ts
+++ b/packages/records/src/log/createRecordsClient.ts
@@ -13,11 +13,11 @@
 import type { EventLog, Incarnation, InstanceName, LogOffset, Metrics, TimerService } from '@figmount/base'
 import type { AgreedState, LogRecord, PlacedRecord } from '../fold/types.js'
 import type { PlatformLogCalls } from './openLog.js'
-import type { FollowingClient, RecordsClient, SnapshotSeen } from './types.js'
+import type { FollowingClient, RecordsClient, LogSnapshot } from './types.js'
 
 type Listener = Parameters<RecordsClient['onChange']>[0]
 
-/** What a records client is made of. */
+/** Dependencies and settings of a records client. */
 export interface RecordsClientOptions {
   /** host:port of the platform's log. */
   readonly address: string
@@ -26,13 +26,13 @@
   readonly timers: TimerService
   readonly events: EventLog
   readonly metrics: Metrics
-  /** Append calls a second in the long run; APPENDS_PER_SECOND if left out. */
+  /** Long-term rate of append calls; defaults to APPENDS_PER_SECOND. */
   readonly appendsPerSecond?: number
-  /** The log's calls, for tests; made from `address` if left out. */
+  /** The calls to the log, replaceable in tests; by default made to `address`. */
   readonly log?: PlatformLogCalls
 }
 
-/** Starts to follow the platform's log. It never gives up; `isReady` tells when there is a state. */
+/** Starts to follow the platform's log, with unlimited retries; `isReady` tells whether there is a state yet. */
 export const createRecordsClient = (options: RecordsClientOptions): FollowingClient => {
   const { address, instance, incarnation, timers, events, metrics } = options
   const log = options.log ?? openLog(address, timers)
@@ -41,22 +41,22 @@
   const jitter = createJitter(`${instance}/${incarnation}`)
   let confirmedAtMs = -Infinity
   let knownHead = 0 as LogOffset
-  let ready = false
+  let isReady = false
   let idCount = 0
-  let lastSnapshot: SnapshotSeen | undefined
+  let lastSnapshot: LogSnapshot | undefined
 
   const nextId = (): string => `${incarnation}.${idCount++}`
 
-  const raiseKnownHead = (head: LogOffset): void => {
+  const advanceKnownHead = (head: LogOffset): void => {
     if (head > knownHead) knownHead = head
   }
 
-  const tell = (records: readonly PlacedRecord[], state: AgreedState): void => {
+  const notifyListeners = (records: readonly PlacedRecord[], state: AgreedState): void => {
     for (const listen of listeners) {
       try {
         listen(records, state)
       } catch (error) {
-        // A listener that throws must not end the reading of the log.
+        // A listener that throws must not stop the reading of the log.
         events.emit(BaseEvent.unexpectedFault, { step: 'records.onChange', reason: (error as Error).message })
       }
     }
@@ -74,12 +74,12 @@
         readable.push(record)
         if (outcome) appender.onFolded(record.record, record.offset, outcome)
       }
-      tell(readable, follower.state())
+      notifyListeners(readable, follower.state())
     },
     onRebuilt: (state, from) => {
-      if (from === 'peer') ready = true
+      if (from === 'peer') isReady = true
       events.emit(RecordEvent.stateRebuilt, { offset: state.nextOffset, detail: from })
-      tell([], state)
+      notifyListeners([], state)
     },
     onSnapshotRefused: reason => events.emit(RecordEvent.snapshotRefused, { reason }),
     onSnapshotSeen: (baseOffset, completedAtMs) => { lastSnapshot = { baseOffset, completedAtMs } }
@@ -100,7 +100,7 @@
     metrics,
     jitter,
     ...(options.appendsPerSecond === undefined ? {} : { appendsPerSecond: options.appendsPerSecond }),
-    onAppended: raiseKnownHead
+    onAppended: advanceKnownHead
   })
 
   const reader = createReader({
@@ -114,7 +114,7 @@
     knownHead: () => knownHead,
     onConfirmed: sentAtMs => {
       confirmedAtMs = sentAtMs
-      ready = true
+      isReady = true
       appender.onConfirmed(sentAtMs)
     }
   })
@@ -125,7 +125,7 @@
   return {
     state: follower.state,
     confirmedAtMs: () => confirmedAtMs,
-    isReady: () => ready,
+    isReady: () => isReady,
     lastSnapshot: () => lastSnapshot,
     onChange: listen => {
       listeners.add(listen)
@@ -134,7 +134,7 @@
     append: record => appender.append({ ...record, recordId: record.recordId ?? nextId(), writer: instance, writerIncarnation: incarnation } as LogRecord),
     offer: records => {
       follower.takeFromPeer(records)
-      raiseKnownHead(follower.state().nextOffset)
+      advanceKnownHead(follower.state().nextOffset)
     },
     rawFrom: createPeerSource({ instance, timers, state: follower.state, buffer, nextId }),
     stop: () => {
--- a/packages/records/src/log/recordSchema.ts
+++ b/packages/records/src/log/recordSchema.ts
@@ -21,7 +21,7 @@
 ])
 
 /**
- * Every record as it is read from outside. Fields that a newer build adds are dropped;
+ * Schema of every record read from the log or a peer. Fields added by a newer build are dropped, and
  * everything that could make the state grow is limited.
  */
 export const recordSchema = z.discriminatedUnion('kind', [
--- a/packages/records/src/log/reportRecord.ts
+++ b/packages/records/src/log/reportRecord.ts
@@ -5,7 +5,7 @@
 import type { FoldInput, FoldOutcome, LogRecord } from '../fold/types.js'
 import type { RightKey } from '../rights/types.js'
 
-interface Folded {
+interface FoldedRecord {
   readonly record: FoldInput
   readonly outcome: FoldOutcome
   readonly instance: InstanceName
@@ -23,14 +23,14 @@
   record.kind === 'right.grant' ? record.instance === instance : record.writer === instance
 
 /**
- * Reports what a folded record means for this process: configuration that is now in force,
- * rights of its own, records that were ignored.
+ * Emits the events of a folded record that concern this process: configuration now in force, changes
+ * of its own rights, and ignored or unreadable records.
  */
-export const reportRecord = ({ record: placed, outcome, instance, events, metrics }: Folded): void => {
+export const reportRecord = ({ record: input, outcome, instance, events, metrics }: FoldedRecord): void => {
   metrics.count(outcome.applied ? 'records_applied' : 'records_ignored')
-  const { offset } = placed
-  if ('unreadable' in placed) return events.emit(RecordEvent.recordUnreadable, { offset, reason: placed.unreadable })
-  const { record } = placed
+  const { offset } = input
+  if ('unreadable' in input) return events.emit(RecordEvent.recordUnreadable, { offset, reason: input.unreadable })
+  const { record } = input
   if (!outcome.applied) return events.emit(RecordEvent.recordIgnored, { offset, detail: record.kind, reason: outcome.reason })
   if (record.kind === 'config.set') return events.emit(RecordEvent.configInForce, { offset, item: record.item, version: String(record.expectedVersion + 1) })
   if (!('right' in record) || !isAboutOwnRight(record, instance)) return
--- a/packages/records/src/snapshot/createSnapshotWriter.ts
+++ b/packages/records/src/snapshot/createSnapshotWriter.ts
@@ -3,7 +3,7 @@
 import { RecordEvent } from '../log/events.js'
 
 import type { EventLog, LogOffset, TimerService, Unsubscribe } from '@figmount/base'
-import type { FollowingClient, SnapshotSeen } from '../log/types.js'
+import type { FollowingClient, LogSnapshot } from '../log/types.js'
 
 interface Options {
   readonly client: FollowingClient
@@ -27,7 +27,7 @@
  * Whether a snapshot is due. It is appended again even when nothing has changed: its own records
  * expire like all others, and a process born after that would find nothing.
  */
-export const isSnapshotDue = (last: SnapshotSeen | undefined, need: SnapshotNeed): boolean => {
+export const isSnapshotDue = (last: LogSnapshot | undefined, need: SnapshotNeed): boolean => {
   if (need.nextOffset === 0) return false
   if (!last) return true
   if (need.nextOffset - last.baseOffset >= SNAPSHOT_RECORD_COUNT) return true
