--- a/packages/records/src/log/createFollower.ts
+++ b/packages/records/src/log/createFollower.ts
@@ -1,6 +1,6 @@
 import { emptyState } from '../fold/emptyState.js'
 import { foldRecords } from '../fold/foldRecords.js'
-import { gatherChunk, nothingGathered } from '../snapshot/gatherChunks.js'
+import { addChunk, noIncompleteSnapshots } from '../snapshot/addChunk.js'
 import { decodeRawRecord } from './codec.js'
 import { NOT_IN_LOG, PENDING_MAX_BYTES } from './constants.js'
 
@@ -57,8 +57,8 @@
 /** Creates a follower with the empty state. */
 export const createFollower = (callbacks: FollowerCallbacks): Follower => {
   let state = emptyState
-  let logGathering = nothingGathered
-  let peerGathering = nothingGathered
+  let incompleteFromLog = noIncompleteSnapshots
+  let incompleteFromPeers = noIncompleteSnapshots
   // Records of the log that can't be folded yet because earlier ones have expired.
   let pending: DecodedRecord[] = []
   let pendingBytes = 0
@@ -105,8 +105,8 @@
     isBlocked && snapshot.nextOffset >= (pending[0]?.raw.offset ?? Infinity)
 
   const gatherFromLog = (chunk: SnapshotChunk, completedAtMs: number): void => {
-    const result = gatherChunk(logGathering, chunk, isBlocked)
-    logGathering = result.gathering
+    const result = addChunk(incompleteFromLog, chunk, isBlocked)
+    incompleteFromLog = result.gathering
     if (result.mistake) callbacks.onSnapshotRefused(result.mistake)
     if (result.isComplete) callbacks.onSnapshotSeen(chunk.baseOffset, completedAtMs)
     if (result.state && isUsable(result.state)) adoptSnapshot(result.state, 'log')
@@ -117,7 +117,7 @@
       isBlocked = true
       pending = []
       pendingBytes = 0
-      logGathering = nothingGathered
+      incompleteFromLog = noIncompleteSnapshots
       position = oldestOffset
     }
     const decoded = records.filter(raw => raw.offset >= position).map(decodeOne)
@@ -142,8 +142,8 @@
         tail.push(record)
         continue
       }
-      const result = gatherChunk(peerGathering, chunk, chunk.baseOffset > state.nextOffset)
-      peerGathering = result.gathering
+      const result = addChunk(incompleteFromPeers, chunk, chunk.baseOffset > state.nextOffset)
+      incompleteFromPeers = result.gathering
       if (result.mistake) callbacks.onSnapshotRefused(result.mistake)
       if (result.state) adoptSnapshot(result.state, 'peer')
     }
--- a/packages/records/src/snapshot/createSnapshotWriter.ts
+++ b/packages/records/src/snapshot/createSnapshotWriter.ts
@@ -1,4 +1,4 @@
-import { SNAPSHOT_CHECK_MS, SNAPSHOT_PERIOD_MS, SNAPSHOT_RECORD_COUNT } from './constants.js'
+import { SNAPSHOT_CHECK_PERIOD_MS, SNAPSHOT_PERIOD_MS, MAX_RECORDS_BETWEEN_SNAPSHOTS } from './constants.js'
 import { splitSnapshot } from './splitSnapshot.js'
 import { RecordEvent } from '../log/events.js'
 
@@ -9,14 +9,14 @@
   readonly client: FollowingClient
   readonly timers: TimerService
   readonly events: EventLog
-  /** Whether this process is the one to write, by rendezvous over the live routers. Two writers do no harm. */
+  /** Whether this process should write, by rendezvous hashing over the live routers. Two writers at once are harmless. */
   readonly isMyTurn: () => boolean
   /** Time between snapshots; at most a quarter of the log's retention. */
   readonly periodMs?: number
 }
 
-/** What a decision on a new snapshot rests on. */
-export interface SnapshotNeed {
+/** Inputs of the decision whether a snapshot is due. */
+export interface SnapshotCheck {
   readonly nextOffset: LogOffset
   /** Log time, or a Unix clock close to it. */
   readonly nowMs: number
@@ -24,19 +24,19 @@
 }
 
 /**
- * Whether a snapshot is due. It is appended again even when nothing has changed: its own records
- * expire like all others, and a process born after that would find nothing.
+ * Whether a snapshot is due. One is appended periodically even if nothing has changed: a snapshot's own
+ * records expire like all others, and a process started after that would find no state.
  */
-export const isSnapshotDue = (last: LogSnapshot | undefined, need: SnapshotNeed): boolean => {
+export const isSnapshotDue = (last: LogSnapshot | undefined, need: SnapshotCheck): boolean => {
   if (need.nextOffset === 0) return false
   if (!last) return true
-  if (need.nextOffset - last.baseOffset >= SNAPSHOT_RECORD_COUNT) return true
+  if (need.nextOffset - last.baseOffset >= MAX_RECORDS_BETWEEN_SNAPSHOTS) return true
   return need.nowMs - last.completedAtMs >= need.periodMs
 }
 
-/** Appends snapshots whenever one is due and it is this process's turn. Returns the stop. */
+/** Appends a snapshot whenever one is due and it is this process's turn. Returns a function that stops it. */
 export const createSnapshotWriter = ({ client, timers, events, isMyTurn, periodMs = SNAPSHOT_PERIOD_MS }: Options): Unsubscribe => {
-  let writing = false
+  let isWriting = false
 
   const write = async (): Promise<void> => {
     const state = client.state()
@@ -46,14 +46,14 @@
     events.emit(RecordEvent.snapshotAppended, { offset: state.nextOffset, count: chunks.length })
   }
 
-  return timers.every(SNAPSHOT_CHECK_MS, () => {
-    // Only at the head: a snapshot of an old state would be older than the one it replaces.
-    const isFresh = timers.nowMs() - client.confirmedAtMs() < SNAPSHOT_CHECK_MS
-    if (writing || !isFresh || !isMyTurn()) return
+  return timers.every(SNAPSHOT_CHECK_PERIOD_MS, () => {
+    // Writes only at the head of the log: a snapshot of an outdated state could be older than the last one.
+    const isFresh = timers.nowMs() - client.confirmedAtMs() < SNAPSHOT_CHECK_PERIOD_MS
+    if (isWriting || !isFresh || !isMyTurn()) return
     const { nextOffset } = client.state()
     if (!isSnapshotDue(client.lastSnapshot(), { nextOffset, nowMs: timers.unixMs(), periodMs })) return
-    writing = true
-    write().finally(() => { writing = false }).catch((error: Error) => {
+    isWriting = true
+    write().finally(() => { isWriting = false }).catch((error: Error) => {
       events.emit(RecordEvent.snapshotRefused, { reason: error.message })
     })
   })
