--- a/packages/records/src/index.ts
+++ b/packages/records/src/index.ts
@@ -1,4 +1,4 @@
-/** The agreed state of the system: typed records of the platform's log, their fold, and the client that follows it. */
+/** The agreed state of the system: typed records of the platform's log, their fold, and the client that follows the log. */
 export type * from './agents/types.js'
 export { checkBody, isItemName, MAX_BODY_LENGTH } from './config/parseBody.js'
 export { findCallerByKey, findModel, findService, listServices, modelsOfService, serviceOfVersion } from './config/selectors.js'
--- a/packages/records/src/proposals/slotProtocol.test.ts
+++ b/packages/records/src/proposals/slotProtocol.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 
-import { createSlotWorld } from '../testing/createSlotWorld.js'
+import { createSlotSimulation } from '../testing/createSlotSimulation.js'
 import { SLOT_STEPS } from '../testing/slotAgents.js'
 
 import type { SlotStep } from '../testing/slotAgents.js'
@@ -14,13 +14,13 @@
 /** Set FIGMOUNT_PROPERTY_RUNS for a longer search; docs/design/rights.md lists the run counts. */
 const RUN_COUNT = Number(process.env.FIGMOUNT_PROPERTY_RUNS ?? 150)
 
-const runSteps = (...steps: ReadonlyArray<readonly [SlotStep['kind'], number, number]>): ReturnType<typeof createSlotWorld> => {
-  const world = createSlotWorld()
+const runSteps = (...steps: ReadonlyArray<readonly [SlotStep['kind'], number, number]>): ReturnType<typeof createSlotSimulation> => {
+  const simulation = createSlotSimulation()
   for (const [kind, who, n] of steps) {
-    world.step({ kind, who, n })
-    expect(world.findViolations(), `after ${kind} ${who} ${n}`).to.deep.equal([])
+    simulation.step({ kind, who, n })
+    expect(simulation.findViolations(), `after ${kind} ${who} ${n}`).to.deep.equal([])
   }
-  return world
+  return simulation
 }
 
 const granted = [['deliverAll', 0, 0], ['propose', 0, 0], ['deliverAll', 0, 0]] as const
@@ -32,14 +32,14 @@
     this.timeout(600_000)
     const totals = { loadCount: 0, releaseCount: 0, voidCount: 0 }
     fc.assert(fc.property(anyRun, steps => {
-      const world = createSlotWorld()
+      const simulation = createSlotSimulation()
       for (const step of steps) {
-        world.step(step)
-        expect(world.findViolations()).to.deep.equal([])
+        simulation.step(step)
+        expect(simulation.findViolations()).to.deep.equal([])
       }
-      totals.loadCount += world.loadCount()
-      totals.releaseCount += world.appliedCount('right.release')
-      totals.voidCount += world.appliedCount('instance.void')
+      totals.loadCount += simulation.loadCount()
+      totals.releaseCount += simulation.appliedCount('right.release')
+      totals.voidCount += simulation.appliedCount('instance.void')
     }), { seed: 4711, numRuns: RUN_COUNT, endOnFailure: true })
     // Checks that the search covers the protocol: runs that load or move nothing can't find a violation.
     for (const count of Object.values(totals)) expect(count).to.be.above(RUN_COUNT / 2)
--- a/packages/records/src/rights/keysProtocol.test.ts
+++ b/packages/records/src/rights/keysProtocol.test.ts
@@ -2,9 +2,9 @@
 import fc from 'fast-check'
 
 import { KEY_AHEAD_MS, KEY_MEMORY_MS } from './constants.js'
-import { createKeysWorld, KEYS_STEPS } from '../testing/createKeysWorld.js'
+import { createKeysSimulation, KEYS_STEPS } from '../testing/createKeysSimulation.js'
 
-import type { KeyRules, KeysStep } from '../testing/createKeysWorld.js'
+import type { KeyRules, KeysStep } from '../testing/createKeysSimulation.js'
 
 const anyKind = fc.oneof(...Object.entries(KEYS_STEPS).map(([kind, weight]) =>
   ({ weight, arbitrary: fc.constant(kind as KeysStep['kind']) })))
@@ -17,11 +17,11 @@
 const search = (rules: KeyRules, numRuns: number) => {
   const totals = { permitCount: 0, tenureCount: 0 }
   const details = fc.check(fc.property(anyRun, steps => {
-    const world = createKeysWorld(rules)
-    for (const step of steps) world.step(step)
-    expect(world.findViolations()).to.deep.equal([])
-    totals.permitCount += world.permitCount()
-    totals.tenureCount += world.tenureCount()
+    const simulation = createKeysSimulation(rules)
+    for (const step of steps) simulation.step(step)
+    expect(simulation.findViolations()).to.deep.equal([])
+    totals.permitCount += simulation.permitCount()
+    totals.tenureCount += simulation.tenureCount()
   }), { seed: 815, numRuns, endOnFailure: true })
   return { ...totals, ...details }
 }
@@ -29,9 +29,9 @@
 const designedRules: KeyRules = { marginCutMs: 0, memoryMs: KEY_MEMORY_MS }
 
 const runSteps = (rules: KeyRules, ...steps: ReadonlyArray<readonly [KeysStep['kind'], number, number]>): readonly string[] => {
-  const world = createKeysWorld(rules)
-  for (const [kind, who, n] of steps) world.step({ kind, who, n })
-  return world.findViolations()
+  const simulation = createKeysSimulation(rules)
+  for (const [kind, who, n] of steps) simulation.step({ kind, who, n })
+  return simulation.findViolations()
 }
 
 describe('keys protocol', () => {
--- a/packages/records/src/testing/createFakeLog.ts
+++ b/packages/records/src/testing/createFakeLog.ts
@@ -1,4 +1,4 @@
-/** A log in memory for tests of this package, with the failures that a real one shows. */
+/** An in-memory log for tests of this package, with the failures of a real one. */
 import { EitherAsync, Left, Right } from 'purify-ts'
 import { FaultKind, makeFault } from '@figmount/base'
 
@@ -7,22 +7,22 @@
 import type { LogRead, PlatformLogCalls } from '../log/openLog.js'
 import type { RawRecord } from '../log/types.js'
 
-/** What goes wrong with the next calls. */
-export interface LogTrouble {
+/** Faults of the next calls. */
+export interface LogFaults {
   /** Calls fail and have no effect. */
   isDown: boolean
-  /** Appends take effect and their answers are lost. */
+  /** Appends take effect, but their answers are lost. */
   losesAnswers: boolean
-  /** Reads show the log as it was at this head. */
+  /** Reads return the log as it was at this head. */
   staleHead: number
 }
 
 export interface FakeLog {
   readonly calls: PlatformLogCalls
-  readonly trouble: LogTrouble
+  readonly trouble: LogFaults
   readonly records: readonly RawRecord[]
   readonly appendSizes: readonly number[]
-  /** Drops records below an offset. */
+  /** Drops the records below an offset. */
   readonly expire: (oldestOffset: number) => void
 }
 
@@ -31,9 +31,9 @@
 export const createFakeLog = (timers: TimerService): FakeLog => {
   const records: RawRecord[] = []
   const appendSizes: number[] = []
-  const trouble: LogTrouble = { isDown: false, losesAnswers: false, staleHead: Infinity }
+  const trouble: LogFaults = { isDown: false, losesAnswers: false, staleHead: Infinity }
   let oldest = 0
-  let wakes: Array<() => void> = []
+  let wakeCallbacks: Array<() => void> = []
 
   const answer = (fromOffset: LogOffset): LogRead => {
     const head = Math.min(records.length, trouble.staleHead)
@@ -46,7 +46,7 @@
 
   const waitForMore = async (waitMs: number): Promise<void> => await new Promise(resolve => {
     const cancel = timers.after(waitMs, resolve)
-    wakes.push(() => {
+    wakeCallbacks.push(() => {
       cancel()
       resolve()
     })
@@ -62,9 +62,9 @@
     const firstOffset = records.length as LogOffset
     appendSizes.push(payloads.length)
     for (const payload of payloads) records.push({ offset: records.length as LogOffset, appendedAtMs: timers.unixMs(), payload })
-    const due = wakes
-    wakes = []
-    for (const wake of due) wake()
+    const dueCallbacks = wakeCallbacks
+    wakeCallbacks = []
+    for (const wake of dueCallbacks) wake()
     return trouble.losesAnswers ? failure() : Right(firstOffset)
   }
 
--- a/packages/records/src/testing/createKeysWorld.ts
+++ b/packages/records/src/testing/createKeysSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * A small world of agents that may hold the keys right of one model, and of callers that send
- * their keys again wherever a stale router takes them. Agents follow docs/design/once.md.
+ * A simulation of agents that may hold the keys right of one model, and of callers that resend their
+ * keys to any agent that an outdated router selects. Agents follow docs/design/once.md.
  */
 import { createTestLog } from './createTestLog.js'
 import { agentUp, setConfig, twoReplicaService } from './records.js'
@@ -16,11 +16,12 @@
 const target = 'reader/m' as ModelId
 const right = { kind: 'keys', target } as const
 
-/** The steps and how often each is drawn. */
+/** The kinds of step and the relative frequency of each. */
 export const KEYS_STEPS = {
   time: 12, ask: 12, askAll: 4, issue: 8, turn: 20, readStart: 2, readEnd: 3, deliver: 3, deliverAll: 10, lose: 1, pause: 1, resume: 4, restart: 1, grant: 8, revoke: 1, release: 2, void: 1, window: 1
 } as const
 
+/** One step; `who` selects an agent or append, `n` a key, time step or variant. */
 export interface KeysStep {
   readonly kind: keyof typeof KEYS_STEPS
   readonly who: number
@@ -42,19 +43,19 @@
   view: AgreedState
   confirmedAtMs: number
   reading: { readonly sentAtMs: number, readonly head: LogOffset } | undefined
-  /** Keys let run, with the time until which they are remembered. */
+  /** Permitted keys, each with the time until which it is remembered. */
   known: Map<number, number>
   releasing: ReadonlySet<LogOffset>
 }
 
-/** Rules that a trial can replace to see whether the search finds the fault. */
+/** Rules that a test can change to check that the search finds the resulting fault. */
 export interface KeyRules {
-  /** Taken off the margin that the fold puts into `keysFromMs`. */
+  /** Subtracted from the margin that the fold includes in `keysFromMs`. */
   readonly marginCutMs: number
   readonly memoryMs: number
 }
 
-export interface KeysWorld {
+export interface KeysSimulation {
   readonly step: (step: KeysStep) => void
   readonly findViolations: () => readonly string[]
   readonly permitCount: () => number
@@ -63,17 +64,17 @@
 
 const TIME_STEPS_MS = [100, 500, 1_000, 2_000, 4_000, 9_000, 9_000] as const
 const DAY_MS = 86_400_000
-/** How far the clocks that stamp keys are off: within the bound, somewhat beyond it, and by a day. */
-const ERRORS_MS = [0, -CLOCK_ERROR_MS, CLOCK_ERROR_MS, 2 * CLOCK_ERROR_MS, 2 * CLOCK_ERROR_MS, -DAY_MS, DAY_MS] as const
+/** Errors of the clocks that stamp keys: within the limit, somewhat beyond it, and by a day. */
+const CLOCK_ERRORS_MS = [0, -CLOCK_ERROR_MS, CLOCK_ERROR_MS, 2 * CLOCK_ERROR_MS, 2 * CLOCK_ERROR_MS, -DAY_MS, DAY_MS] as const
 
-export const createKeysWorld = (rules: KeyRules): KeysWorld => {
+export const createKeysSimulation = (rules: KeyRules): KeysSimulation => {
   const log = createTestLog()
   const violations: string[] = []
   const keys: Key[] = []
   let nowMs = 10_000_000
   let incarnationCount = 0
 
-  const newHolder = (name: string, clockErrorMs: number): Holder => ({
+  const createHolder = (name: string, clockErrorMs: number): Holder => ({
     name: name as InstanceName,
     clockErrorMs,
     incarnation: 'i000' as Incarnation,
@@ -84,21 +85,21 @@
     known: new Map(),
     releasing: new Set()
   })
-  const holders = [newHolder('a0', CLOCK_ERROR_MS), newHolder('a1', -CLOCK_ERROR_MS), newHolder('a2', 0)]
+  const holders = [createHolder('a0', CLOCK_ERROR_MS), createHolder('a1', -CLOCK_ERROR_MS), createHolder('a2', 0)]
 
   const announce = (holder: Holder): void => {
     const { recordId, ...record } = agentUp(holder.name, holder.incarnation) as Extract<LogRecord, { kind: 'agent.up' }>
     log.send(record, holder.name, holder.incarnation)
   }
 
-  const rightIn = (state: AgreedState): RightState | undefined => state.rights.get(rightIdOf(right))
+  const findRight = (state: AgreedState): RightState | undefined => state.rights.get(rightIdOf(right))
 
-  const heldBy = (holder: Holder): RightState | undefined => {
-    const held = rightIn(holder.view)
+  const findHeldRight = (holder: Holder): RightState | undefined => {
+    const held = findRight(holder.view)
     return held?.holder === holder.name && held.status !== 'free' && !holder.releasing.has(held.fence) ? held : undefined
   }
 
-  const isUnderTenure = (holder: Holder, held: RightState, key: Key, clockMs: number): boolean =>
+  const isPermitted = (holder: Holder, held: RightState, key: Key, clockMs: number): boolean =>
     held.status === 'granted' &&
     held.incarnation === holder.incarnation &&
     nowMs - holder.confirmedAtMs < AUTHORITY_MS &&
@@ -106,14 +107,14 @@
     key.issuedAtMs >= clockMs - ONCE_WINDOW_MS &&
     key.issuedAtMs >= held.keysFromMs - rules.marginCutMs
 
-  const ask = (holder: Holder, key: Key): void => {
+  const requestPermit = (holder: Holder, key: Key): void => {
     key.sentCount += 1
     const clockMs = nowMs + holder.clockErrorMs
     for (const [id, untilMs] of holder.known) {
       if (untilMs < clockMs) holder.known.delete(id)
     }
-    const held = heldBy(holder)
-    if (!held || holder.known.has(key.id) || !isUnderTenure(holder, held, key, clockMs)) return
+    const held = findHeldRight(holder)
+    if (!held || holder.known.has(key.id) || !isPermitted(holder, held, key, clockMs)) return
     key.permitCount += 1
     holder.known.set(key.id, Math.max(clockMs, key.issuedAtMs) + rules.memoryMs)
     if (key.permitCount > 1) violations.push(`key ${key.id} was permitted ${key.permitCount} times`)
@@ -145,13 +146,13 @@
   const renewOrAnnounce = (holder: Holder): void => {
     const facts = holder.view.agents.get(holder.name)
     if (facts?.incarnation !== holder.incarnation || facts.gone) return announce(holder)
-    const held = heldBy(holder)
+    const held = findHeldRight(holder)
     if (!held || held.incarnation === holder.incarnation) return
     log.send({ kind: 'right.renew', right, fence: held.fence, incarnation: holder.incarnation }, holder.name, holder.incarnation)
   }
 
   const release = (holder: Holder): void => {
-    const held = rightIn(holder.view)
+    const held = findRight(holder.view)
     if (held?.holder !== holder.name || held.status === 'free') return
     if (holder.view.agents.get(holder.name)?.incarnation !== holder.incarnation) return
     holder.releasing = new Set([...holder.releasing, held.fence])
@@ -161,7 +162,7 @@
   const send = (record: NewRecord): void => log.send(record, 'r0')
 
   const propose = ({ kind, who }: KeysStep, holder: Holder): void => {
-    const current = rightIn(log.present())
+    const current = findRight(log.present())
     const facts = log.present().agents.get(holder.name)
     if (kind === 'grant' && facts) {
       send({ kind: 'right.grant', right, instance: holder.name, incarnation: facts.incarnation, expectedFence: current?.fence ?? 0 })
@@ -183,7 +184,7 @@
       case 'release': return release(holder)
       case 'ask': {
         const key = keys.at(-1 - n)
-        return key && ask(holder, key)
+        return key && requestPermit(holder, key)
       }
       case 'turn':
         readStart(holder)
@@ -192,7 +193,7 @@
       case 'askAll':
         readStart(holder)
         readEnd(holder)
-        for (const key of keys.slice(-8)) ask(holder, key)
+        for (const key of keys.slice(-8)) requestPermit(holder, key)
     }
   }
 
@@ -202,7 +203,7 @@
       case 'time': nowMs += TIME_STEPS_MS[next.n] ?? 0; return
       case 'window': nowMs += ONCE_WINDOW_MS / 2; return
       case 'issue':
-        keys.push({ id: keys.length, issuedAtMs: nowMs + (ERRORS_MS[next.n % ERRORS_MS.length] ?? 0), permitCount: 0, sentCount: 0 })
+        keys.push({ id: keys.length, issuedAtMs: nowMs + (CLOCK_ERRORS_MS[next.n % CLOCK_ERRORS_MS.length] ?? 0), permitCount: 0, sentCount: 0 })
         return
       case 'deliver': return log.deliver(next.who, nowMs, next.n === 0)
       case 'deliverAll': return log.deliverAll(nowMs)
--- a/packages/records/src/testing/createSlotWorld.ts
+++ b/packages/records/src/testing/createSlotSimulation.ts
@@ -1,9 +1,9 @@
 /**
- * A small world of agents, engines, proposers, a list and a log, in which everything may be late,
- * lost, doubled, paused or killed. The fold and the proposals are the real ones; the agents follow
- * the rules in docs/design/rights.md.
+ * A simulation of agents, engines, proposers, an instance list and a log, in which messages may be late,
+ * lost or duplicated and processes paused or killed. It uses the real fold and proposals; the agents
+ * follow the rules in docs/design/rights.md.
  */
-import { newAgent, newEngine, newProposers } from './slotAgents.js'
+import { createAgent, createEngine, createProposers } from './slotAgents.js'
 import { createTestLog } from './createTestLog.js'
 import { agentUp, setConfig, twoReplicaService } from './records.js'
 import { proposeRights } from '../proposals/proposeRights.js'
@@ -23,35 +23,35 @@
 import type { RightState } from '../rights/types.js'
 
 export const MODEL = 'reader/m' as ModelId
-const SETTLE_MS = ORDER_DEADLINE_MS + 1_000
+const RELEASE_DELAY_MS = ORDER_DEADLINE_MS + 1_000
 
-const TURN = ['readStart', 'readEnd', 'act', 'send', 'engine'] as const
+const TURN_STEPS = ['readStart', 'readEnd', 'act', 'send', 'engine'] as const
 
 const TIME_STEPS_MS = [100, 500, 1_000, 2_000, 3_000, 5_000, 9_000] as const
 
-export interface SlotWorld {
+export interface SlotSimulation {
   readonly step: (step: SlotStep) => void
-  /** What speaks against the bound now; empty if nothing does. */
+  /** Current violations of the limit on replicas; empty if there are none. */
   readonly findViolations: () => readonly string[]
-  /** Loads that engines have carried out so far. */
+  /** Number of loads that engines have executed so far. */
   readonly loadCount: () => number
   readonly appliedCount: TestLog['appliedCount']
 }
 
-export const createSlotWorld = (): SlotWorld => {
+export const createSlotSimulation = (): SlotSimulation => {
   const log = createTestLog()
-  const agents = [newAgent('a0', true), newAgent('a1', false), newAgent('a2', true)]
-  const proposers = newProposers()
+  const agents = [createAgent('a0', true), createAgent('a1', false), createAgent('a2', true)]
+  const proposers = createProposers()
   let nowMs = 1_000_000
   let isLogDown = false
   let incarnationCount = 0
   let loadCount = 0
 
-  const isAwake = (agent: Agent): boolean => agent.isRunning && !agent.isPaused && !agent.isReclaimed
+  const isActive = (agent: Agent): boolean => agent.isRunning && !agent.isPaused && !agent.isReclaimed
 
   const announce = (agent: Agent): void => {
     const up = { ...agentUp(agent.name, agent.incarnation), enforcesFence: agent.engine.enforcesFence }
-    // Each announcement has an id of its own: an agent that was voided comes up again as it is.
+    // Each announcement needs an id of its own: a voided agent announces itself again with the same incarnation.
     const { recordId, ...record } = up as Extract<LogRecord, { kind: 'agent.up' }>
     log.send(record, agent.name, agent.incarnation)
   }
@@ -64,12 +64,12 @@
   const mayLoad = (agent: Agent): boolean =>
     isUp(agent) && (nowMs - agent.confirmedAtMs < AUTHORITY_MS || agent.listed !== 'missing')
 
-  const heldBy = (agent: Agent): readonly RightState[] =>
+  const rightsHeldBy = (agent: Agent): readonly RightState[] =>
     [...agent.view.rights.values()].filter(right => right.holder === agent.name && right.status !== 'free' && right.key.kind === 'replica')
 
   const addOrder = (agent: Agent, order: Order): void => { agent.orders = [...agent.orders, order] }
 
-  const follow = (agent: Agent, right: RightState): void => {
+  const actOnRight = (agent: Agent, right: RightState): void => {
     if (right.key.kind !== 'replica' || agent.releasing.has(right.fence)) return
     const slotCount = findModel(agent.view, MODEL)?.maxReplicas ?? 0
     const isKept = !agent.isLeaving && right.status === 'granted' && right.key.slotIndex < slotCount
@@ -79,15 +79,15 @@
     if (isKept && !isLoaded && !hasOrder && mayLoad(agent)) return addOrder(agent, { kind: 'load', ...order })
     if (isKept || hasOrder) return
     if (agent.engine.loaded?.fence === right.fence) return addOrder(agent, { kind: 'unload', ...order })
-    // Not before every order of an earlier run of the agent has expired.
-    if (!isUp(agent) || nowMs - agent.startedAtMs < SETTLE_MS) return
+    // Waits until every order of an earlier run of the agent has expired.
+    if (!isUp(agent) || nowMs - agent.startedAtMs < RELEASE_DELAY_MS) return
     agent.releasing = new Set([...agent.releasing, right.fence])
   }
 
   const act = (agent: Agent): void => {
     if (!isUp(agent)) announce(agent)
-    const held = heldBy(agent)
-    for (const right of held) follow(agent, right)
+    const held = rightsHeldBy(agent)
+    for (const right of held) actOnRight(agent, right)
     for (const right of held) {
       if (!agent.releasing.has(right.fence)) continue
       log.send({ kind: 'right.release', right: right.key, fence: right.fence }, agent.name, agent.incarnation)
@@ -100,16 +100,16 @@
   const isAccepted = (engine: Engine, order: Order): boolean =>
     (order.expiresMs === undefined || nowMs <= order.expiresMs) && (!engine.enforcesFence || order.fence >= engine.highestFence)
 
-  const takeOrder = (agent: Agent, isStray: boolean): Order | undefined => {
-    const [order, ...rest] = isStray ? agent.strayOrders : agent.orders
+  const takeOrder = (agent: Agent, isOrphaned: boolean): Order | undefined => {
+    const [order, ...rest] = isOrphaned ? agent.orphanedOrders : agent.orders
     if (!order || order.expiresMs === undefined) return undefined
-    if (isStray) agent.strayOrders = rest
+    if (isOrphaned) agent.orphanedOrders = rest
     else agent.orders = rest
     return order
   }
 
-  const carryOut = (agent: Agent, isStray: boolean): void => {
-    const order = takeOrder(agent, isStray)
+  const executeOrder = (agent: Agent, isOrphaned: boolean): void => {
+    const order = takeOrder(agent, isOrphaned)
     if (!order || agent.isReclaimed) return
     if (!isAccepted(agent.engine, order)) return
     agent.engine.highestFence = Math.max(agent.engine.highestFence, order.fence)
@@ -134,21 +134,21 @@
     announce(agent)
   }
 
-  // Orders that have not left the process die with it; those on their way do not.
+  // Orders that were not sent yet are lost with the process; those in flight are not.
   const kill = (agent: Agent): void => {
     agent.isRunning = false
-    agent.strayOrders = [...agent.strayOrders, ...agent.orders.filter(order => order.expiresMs !== undefined)]
+    agent.orphanedOrders = [...agent.orphanedOrders, ...agent.orders.filter(order => order.expiresMs !== undefined)]
     agent.orders = []
   }
 
   const reclaim = (agent: Agent): void => {
     kill(agent)
     agent.isReclaimed = true
-    agent.strayOrders = []
+    agent.orphanedOrders = []
     agent.engine.loaded = undefined
   }
 
-  const reach = (agent: Agent, view: AgreedState): EngineReach => {
+  const contactEngine = (agent: Agent, view: AgreedState): EngineReach => {
     if (agent.isReclaimed) return 'unreachable'
     if (!agent.engine.enforcesFence) return 'reachable'
     agent.engine.highestFence = Math.max(agent.engine.highestFence, view.nextOffset)
@@ -168,7 +168,7 @@
     const mayPropose = (): boolean => true
     const engineOf = (name: InstanceName): EngineReach => {
       const agent = agents.find(candidate => candidate.name === name)
-      return agent ? reach(agent, proposer.view) : 'unreachable'
+      return agent ? contactEngine(agent, proposer.view) : 'unreachable'
     }
     const records: readonly NewRecord[] = [
       ...proposeVoids(proposer.view, proposer.absences, { mayPropose, engineOf }),
@@ -178,7 +178,7 @@
   }
 
   const watch = (proposer: Proposer): void => {
-    for (let passedMs = 0; passedMs <= MIN_LIST_ABSENCE_MS; passedMs += MAX_LIST_READ_GAP_MS) {
+    for (let elapsedMs = 0; elapsedMs <= MIN_LIST_ABSENCE_MS; elapsedMs += MAX_LIST_READ_GAP_MS) {
       readList(proposer)
       nowMs += MAX_LIST_READ_GAP_MS
     }
@@ -193,7 +193,7 @@
     agent.reading = undefined
   }
 
-  const setMaximum = (maxReplicas: number): void => {
+  const setMaxReplicas = (maxReplicas: number): void => {
     const [model] = twoReplicaService.models
     const version = log.present().items.get('service/reader')?.version ?? 0
     const body = { ...twoReplicaService, models: [{ ...model, maxReplicas }] }
@@ -210,7 +210,7 @@
       case 'replace':
         if (!agent.isReclaimed) return
         agent.isReclaimed = false
-        agent.engine = newEngine(agent.engine.enforcesFence)
+        agent.engine = createEngine(agent.engine.enforcesFence)
         agent.isListed = true
         return start(agent)
       case 'listDrop':
@@ -219,12 +219,12 @@
       case 'listBack': agent.isListed = !agent.isReclaimed; return
       case 'cut': agent.isCutOff = true; return
       case 'uncut': agent.isCutOff = false; return
-      case 'engine': return carryOut(agent, n < 3)
+      case 'engine': return executeOrder(agent, n < 3)
       case 'leave': agent.isLeaving = true; return
       case 'drain':
         return log.send({ kind: 'drain.set', instance: agent.name, draining: n < 2, operatorName: 'op' }, 'r0')
     }
-    if (!isAwake(agent)) return
+    if (!isActive(agent)) return
     switch (kind) {
       case 'readStart':
         if (!isLogDown && !agent.isCutOff) agent.reading = { sentAtMs: nowMs, head: log.head() }
@@ -238,7 +238,7 @@
       }
       case 'act': return act(agent)
       case 'turn':
-        for (const part of TURN) stepAgent(agent, { kind: part, who: 0, n: 6 })
+        for (const part of TURN_STEPS) stepAgent(agent, { kind: part, who: 0, n: 6 })
         return
       case 'send':
         agent.orders = agent.orders.map(order => order.expiresMs === undefined ? { ...order, expiresMs: nowMs + ORDER_DEADLINE_MS } : order)
@@ -258,28 +258,28 @@
       case 'lose': return log.lose(next.who)
       case 'propose': return propose(proposers[next.who % proposers.length] as Proposer)
       case 'watch': return watch(proposers[next.who % proposers.length] as Proposer)
-      case 'maximum': return setMaximum(1 + next.n % 2)
+      case 'maximum': return setMaxReplicas(1 + next.n % 2)
       default: return stepAgent(agent, next)
     }
   }
 
-  // Every load that is there or may still come about must be under the right as the log has it.
+  // Every model that is loaded, or that a pending order may load, must be covered by a right in the log.
   const findViolations = (): readonly string[] => {
     const violations: string[] = []
     const rights = log.present().rights
     for (const agent of agents) {
       const { engine } = agent
-      const open = [...agent.orders, ...agent.strayOrders].filter(order => order.kind === 'load' && isAccepted(engine, order))
+      const open = [...agent.orders, ...agent.orphanedOrders].filter(order => order.kind === 'load' && isAccepted(engine, order))
       for (const { slotIndex, fence } of [...open, ...engine.loaded ? [engine.loaded] : []]) {
         const right = rights.get(`replica:${MODEL}:${slotIndex}` as RightState['id'])
         if (right && right.status !== 'free' && right.holder === agent.name && right.fence === fence) continue
-        violations.push(`${agent.name} has or may get slot ${slotIndex} under ${fence}; the log says ${right?.status} ${right?.holder} ${right?.fence}`)
+        violations.push(`${agent.name} loaded or may load slot ${slotIndex} under fence ${fence}; the right in the log is ${right?.status} ${right?.holder} ${right?.fence}`)
       }
     }
     return violations
   }
 
-  setMaximum(2)
+  setMaxReplicas(2)
   for (const agent of agents) announce(agent)
   return { step, findViolations, loadCount: () => loadCount, appliedCount: log.appliedCount }
 }
--- a/packages/records/src/testing/records.ts
+++ b/packages/records/src/testing/records.ts
@@ -37,6 +37,6 @@
   expectedFence
 })
 
-/** Places records one after the other, a millisecond apart. */
+/** Assigns consecutive offsets, with append times a millisecond apart. */
 export const placeAll = (records: readonly LogRecord[], fromOffset = 0): readonly PlacedRecord[] =>
   records.map((record, index) => ({ offset: (fromOffset + index) as LogOffset, appendedAtMs: fromOffset + index, record }))
--- a/packages/records/src/testing/slotAgents.ts
+++ b/packages/records/src/testing/slotAgents.ts
@@ -1,4 +1,4 @@
-/** The agents and engines of the slot protocol's test world, and the steps that may happen to them. */
+/** The agents and engines of the slot protocol's simulation, and the steps that it can take. */
 import { emptyState } from '../fold/emptyState.js'
 import { noAbsences } from '../proposals/trackAbsences.js'
 import { CLOCK_ERROR_MS } from '../rights/constants.js'
@@ -11,7 +11,7 @@
   readonly kind: 'load' | 'unload'
   readonly slotIndex: number
   readonly fence: LogOffset
-  /** Undefined until it has left the agent. */
+  /** Undefined until the order has been sent. */
   readonly expiresMs?: number
 }
 
@@ -27,7 +27,7 @@
   isRunning: boolean
   isPaused: boolean
   isCutOff: boolean
-  /** The instance has been taken away with its engine. */
+  /** The platform has removed the instance, including its engine. */
   isReclaimed: boolean
   isListed: boolean
   listed: 'present' | 'missing' | 'unknown'
@@ -36,12 +36,12 @@
   startedAtMs: number
   reading: { readonly sentAtMs: number, readonly head: LogOffset } | undefined
   releasing: ReadonlySet<LogOffset>
-  /** The process is being stopped and gives all its rights back. */
+  /** The process is being stopped and releases all its rights. */
   isLeaving: boolean
-  /** Orders of the running process that have not been carried out. */
+  /** Orders of the running process that have not been executed yet. */
   orders: readonly Order[]
-  /** Orders that earlier runs of the process have sent, unknown to the present one. */
-  strayOrders: readonly Order[]
+  /** Orders that earlier runs of the process sent, which the current one does not know. */
+  orphanedOrders: readonly Order[]
   engine: Engine
 }
 
@@ -52,14 +52,14 @@
   absences: Absences
 }
 
-/** What may happen next; `who` picks an agent, proposer or append, `n` a variant. */
+/** One step; `who` selects an agent, proposer or append, `n` a variant of the step. */
 export interface SlotStep {
   readonly kind: keyof typeof SLOT_STEPS
   readonly who: number
   readonly n: number
 }
 
-/** The steps and how often each is drawn. `turn` and `deliverAll` are whole rounds in which nothing goes wrong. */
+/** The kinds of step and the relative frequency of each. `turn` and `deliverAll` are complete rounds without faults. */
 export const SLOT_STEPS = {
   time: 6,
   turn: 20,
@@ -92,9 +92,9 @@
   drain: 3
 } as const
 
-export const newEngine = (enforcesFence: boolean): Engine => ({ enforcesFence, loaded: undefined, highestFence: 0 })
+export const createEngine = (enforcesFence: boolean): Engine => ({ enforcesFence, loaded: undefined, highestFence: 0 })
 
-export const newAgent = (name: string, enforcesFence: boolean): Agent => ({
+export const createAgent = (name: string, enforcesFence: boolean): Agent => ({
   name: name as InstanceName,
   incarnation: 'i000' as Incarnation,
   isRunning: true,
@@ -110,11 +110,11 @@
   releasing: new Set(),
   isLeaving: false,
   orders: [],
-  strayOrders: [],
-  engine: newEngine(enforcesFence)
+  orphanedOrders: [],
+  engine: createEngine(enforcesFence)
 })
 
-export const newProposers = (): readonly Proposer[] => [
+export const createProposers = (): readonly Proposer[] => [
   { name: 'r0', clockErrorMs: CLOCK_ERROR_MS, view: emptyState, absences: noAbsences },
   { name: 'r1', clockErrorMs: -CLOCK_ERROR_MS, view: emptyState, absences: noAbsences }
 ]
