--- a/packages/records/src/config/applyConfigSet.ts
+++ b/packages/records/src/config/applyConfigSet.ts
@@ -45,7 +45,7 @@
   if (record.bodyJson === '') return current && !current.retired ? undefined : 'there is nothing to retire'
   return checkBody(record.item, record.bodyJson)
     .caseOf({
-      Left: mistake => mistake,
+      Left: error => error,
       Right: body => {
         const owner = findKeyOwner(state, record, body)
         return owner ? `keySha256: ${owner} has this key` : undefined
--- a/packages/records/src/log/createAppender.ts
+++ b/packages/records/src/log/createAppender.ts
@@ -65,7 +65,7 @@
   const perSecond = options.appendsPerSecond ?? APPENDS_PER_SECOND
   let tokens = APPEND_BURST
   let refilledAtMs = timers.nowMs()
-  let wake: (() => void) | undefined
+  let wakeSender: (() => void) | undefined
 
   const fault = (kind: FaultKind, message: string): Fault => makeFault(kind, 'records.append', address, message)
 
@@ -103,7 +103,7 @@
     }
   }
 
-  const waitForWork = async (): Promise<void> => await new Promise(resolve => { wake = resolve })
+  const waitForWork = async (): Promise<void> => await new Promise(resolve => { wakeSender = resolve })
 
   const waitForRateLimit = async (): Promise<void> => {
     const nowMs = timers.nowMs()
@@ -178,7 +178,7 @@
         resolve(result)
       }
       pending.set(record.recordId, { record, payload, status: 'queued', wasSent: false, settle: finish })
-      wake?.()
+      wakeSender?.()
     })
   }
 
@@ -191,7 +191,7 @@
       const { failedAtMs, ...rest } = entry
       pending.set(entry.record.recordId, { ...rest, status: 'queued' })
       metrics.count('records_append_repeats')
-      wake?.()
+      wakeSender?.()
     }
   }
 
@@ -214,7 +214,7 @@
     onConfirmed,
     stop: () => {
       stopping.abort()
-      wake?.()
+      wakeSender?.()
       for (const recordId of [...pending.keys()]) expire(recordId)
     }
   }
--- a/packages/records/src/log/createFollower.ts
+++ b/packages/records/src/log/createFollower.ts
@@ -15,7 +15,7 @@
   readonly onFolded: (records: readonly FoldInput[], outcomes: readonly FoldOutcome[], raw: readonly RawRecord[]) => void
   /** The state was replaced by a later one from a snapshot. */
   readonly onRebuilt: (state: AgreedState, from: 'log' | 'peer') => void
-  readonly onSnapshotRefused: (mistake: string) => void
+  readonly onSnapshotRefused: (reason: string) => void
   /** A complete snapshot was read from the log, whether or not it was needed. */
   readonly onSnapshotSeen: (baseOffset: LogOffset, completedAtMs: number) => void
 }
--- a/packages/records/src/proposals/proposeVoids.ts
+++ b/packages/records/src/proposals/proposeVoids.ts
@@ -36,7 +36,7 @@
 /**
  * Proposes voids for instances that were off the list for MIN_LIST_ABSENCE_MS and whose engine does not answer or
  * has been fenced. An engine that answers but does not enforce fences blocks the void: its agent may be cut off
- * from the log and could make it load a model again after any unload. The limit on replicas takes precedence.
+ * from the log and could make it load a model again after any unload. Keeping the limit on replicas takes precedence.
  */
 export const proposeVoids = (state: AgreedState, absences: Absences, facts: VoidOptions): readonly NewRecord[] => {
   const voids: NewRecord[] = []
--- a/packages/records/src/rights/types.ts
+++ b/packages/records/src/rights/types.ts
@@ -21,7 +21,7 @@
   readonly key: RightKey
   readonly status: RightStatus
   readonly holder: InstanceName
-  /** The incarnation of the holder whose tenure of a `keys` right it is. */
+  /** The holder's incarnation to which the tenure of a `keys` right belongs. */
   readonly incarnation: Incarnation
   readonly fence: LogOffset
   /** Log time at which the tenure of a `keys` right began. */
--- a/packages/records/src/snapshot/addChunk.ts
+++ b/packages/records/src/snapshot/addChunk.ts
@@ -33,15 +33,15 @@
 const joinParts = (parts: ReadonlyMap<number, Uint8Array>, count: number): Uint8Array =>
   Buffer.concat(Array.from({ length: count }, (_, index) => parts.get(index) ?? EMPTY_BYTES))
 
-const without = (gathering: IncompleteSnapshots, snapshotId: string): IncompleteSnapshots => {
-  const rest = new Map(gathering)
+const without = (snapshots: IncompleteSnapshots, snapshotId: string): IncompleteSnapshots => {
+  const rest = new Map(snapshots)
   rest.delete(snapshotId)
   return rest
 }
 
-const dropOldestBeyondLimit = (gathering: IncompleteSnapshots): IncompleteSnapshots => {
-  const [oldest] = gathering.keys()
-  return gathering.size > MAX_INCOMPLETE_SNAPSHOTS && oldest !== undefined ? without(gathering, oldest) : gathering
+const dropOldestBeyondLimit = (snapshots: IncompleteSnapshots): IncompleteSnapshots => {
+  const [oldest] = snapshots.keys()
+  return snapshots.size > MAX_INCOMPLETE_SNAPSHOTS && oldest !== undefined ? without(snapshots, oldest) : snapshots
 }
 
 /**
@@ -49,17 +49,17 @@
  * so chunks are collected by snapshot id and the oldest incomplete snapshot is dropped when too many begin.
  * If the state is not wanted, only the chunks' indices are stored.
  */
-export const addChunk = (gathering: IncompleteSnapshots, chunk: SnapshotChunk, isWanted: boolean): AddChunkResult => {
-  const known = gathering.get(chunk.snapshotId)
+export const addChunk = (snapshots: IncompleteSnapshots, chunk: SnapshotChunk, isWanted: boolean): AddChunkResult => {
+  const known = snapshots.get(chunk.snapshotId)
   if (known && (known.count !== chunk.count || known.baseOffset !== chunk.baseOffset)) {
-    return { gathering, isComplete: false, mistake: 'chunks of one snapshot contradict each other' }
+    return { gathering: snapshots, isComplete: false, mistake: 'chunks of one snapshot contradict each other' }
   }
   const parts = new Map(known?.parts).set(chunk.index, isWanted ? chunk.bytes : EMPTY_BYTES)
   if (parts.size < chunk.count) {
     const incomplete: IncompleteSnapshot = { count: chunk.count, baseOffset: chunk.baseOffset, parts }
-    return { gathering: dropOldestBeyondLimit(new Map(gathering).set(chunk.snapshotId, incomplete)), isComplete: false }
+    return { gathering: dropOldestBeyondLimit(new Map(snapshots).set(chunk.snapshotId, incomplete)), isComplete: false }
   }
-  const rest = without(gathering, chunk.snapshotId)
+  const rest = without(snapshots, chunk.snapshotId)
   if (!isWanted) return { gathering: rest, isComplete: true }
   return decodeState(joinParts(parts, chunk.count)).caseOf<AddChunkResult>({
     Left: mistake => ({ gathering: rest, isComplete: true, mistake }),
