--- a/packages/records/src/agents/applyAgentUp.ts
+++ b/packages/records/src/agents/applyAgentUp.ts
@@ -1,4 +1,4 @@
-import { GONE_AGENT_LIMIT } from '../fold/constants.js'
+import { MAX_GONE_AGENTS } from '../fold/constants.js'
 import { applied, ignored } from '../fold/outcomes.js'
 
 import type { Draft } from '../fold/openDraft.js'
@@ -7,20 +7,20 @@
 
 type AgentUp = Extract<LogRecord, { kind: 'agent.up' }>
 
-// Instances may come and go under ever new names; without a bound the state would grow for ever.
-const forgetOldestGone = (draft: Draft): void => {
+// Instances may come and go under ever new names; this bounds the number of gone ones in the state.
+const deleteOldestGone = (draft: Draft): void => {
   const gone = [...draft.state.agents.values()].filter(agent => agent.gone)
-  if (gone.length <= GONE_AGENT_LIMIT) return
+  if (gone.length <= MAX_GONE_AGENTS) return
   const oldestFirst = gone.toSorted((a, b) => a.offset - b.offset)
-  for (const agent of oldestFirst.slice(0, gone.length - GONE_AGENT_LIMIT)) {
+  for (const agent of oldestFirst.slice(0, gone.length - MAX_GONE_AGENTS)) {
     draft.change('agents').delete(agent.instance)
   }
 }
 
 /**
- * An agent announces itself. It keeps its rights and an operator's drain over a restart.
- * An announcement of an earlier incarnation is ignored: it was delayed on its way and would
- * make the agent that runs now look like a stranger.
+ * Applies an agent's announcement. Over a restart the agent keeps its rights and a drain set by an operator.
+ * A delayed announcement of an earlier incarnation is ignored: it would replace the incarnation that
+ * runs now, whose releases and renewals the fold would then ignore.
  */
 export const applyAgentUp = (draft: Draft, placed: PlacedRecord, record: AgentUp): FoldOutcome => {
   const known = draft.state.agents.get(record.instance)
@@ -38,6 +38,6 @@
     gone: false
   }
   draft.change('agents').set(record.instance, facts)
-  if (!known) forgetOldestGone(draft)
+  if (!known) deleteOldestGone(draft)
   return applied
 }
--- a/packages/records/src/agents/applyInstanceVoid.ts
+++ b/packages/records/src/agents/applyInstanceVoid.ts
@@ -1,4 +1,4 @@
-import { AUTHORITY_MS, KEY_AHEAD_MS, VOID_WAIT_MS } from '../rights/constants.js'
+import { AUTHORITY_MS, KEY_AHEAD_MS, VOID_GRANT_DELAY_MS } from '../rights/constants.js'
 import { applied, ignored } from '../fold/outcomes.js'
 
 import type { Draft } from '../fold/openDraft.js'
@@ -11,9 +11,9 @@
   right.status !== 'free' && right.holder === record.instance && right.fence <= record.upToOffset
 
 /**
- * Frees the rights of an instance that is gone. They may be granted again only after VOID_WAIT_MS
- * of log time: a holder that was merely paused may act on what it read before the void until its
- * authority runs out, and an order that it sent last may be carried out until the order's deadline.
+ * Frees the rights of an instance that is gone. They can be granted again only after VOID_GRANT_DELAY_MS
+ * of log time: a holder that was merely paused may act on its last read until its authority expires, and
+ * its last order may be executed until the order's deadline.
  * A void that was decided before the agent came up again is ignored.
  */
 export const applyInstanceVoid = (draft: Draft, record: InstanceVoid): FoldOutcome => {
@@ -24,7 +24,7 @@
   const freed = [...state.rights.values()].filter(right => isFreedBy(right, record))
   if (agent.gone && freed.length === 0) return ignored(`${record.instance} is void already`)
   draft.change('agents').set(record.instance, { ...agent, gone: true })
-  const grantableFromMs = state.asOfMs + VOID_WAIT_MS
+  const grantableFromMs = state.asOfMs + VOID_GRANT_DELAY_MS
   const keysFromMs = state.asOfMs + AUTHORITY_MS + KEY_AHEAD_MS
   for (const right of freed) {
     draft.change('rights').set(right.id, { ...right, status: 'free', keysFromMs, grantableFromMs })
