--- a/packages/agent/src/agent/createAdmission.ts
+++ b/packages/agent/src/agent/createAdmission.ts
@@ -11,8 +11,8 @@
 import type { Estimates } from '../queueing/createEstimates.js'
 import type { PermitLedger } from '../once/createPermitLedger.js'
 import type { Queue } from '../queueing/createQueue.js'
-import type { Wakes } from '../queueing/createWakes.js'
-import type { SuspectBook } from '../suspects/createSuspectBook.js'
+import type { LoadRequests } from '../queueing/createLoadRequests.js'
+import type { SuspectTracker } from '../suspects/createSuspectTracker.js'
 import type { BackendView, Dispatcher } from './createDispatcher.js'
 import type { AgentContext } from './types.js'
 
@@ -21,17 +21,17 @@
   readonly attempts: AttemptStore
   readonly queue: Queue
   readonly permits: PermitLedger
-  readonly suspects: SuspectBook
+  readonly suspects: SuspectTracker
   readonly dispatcher: Dispatcher
   readonly backend: BackendView
   readonly estimates: Estimates
-  readonly wakes: Wakes
-  /** Expected time until a request that arrives now gets a place in the batch. */
+  readonly loadRequests: LoadRequests
+  /** Expected time until a request that arrives now gets a slot in the batch. */
   readonly secondsAhead: (request: RunRequest) => number
   readonly isDraining: () => boolean
-  /** True when the agreed state is known. */
+  /** True when the agreed state has been read. */
   readonly isReady: () => boolean
-  /** True when the agreed state names this run of the agent, which may then load. */
+  /** True when the agreed state contains this incarnation of the agent, which only then may load. */
   readonly isAnnounced: () => boolean
 }
 
@@ -43,32 +43,32 @@
 
 const MS_PER_SECOND = 1000
 
-/** Takes in what routers ask to start. */
+/** Admits or refuses a request that a router sends. */
 export type HandleStart = (start: Start, subscriber: Subscriber) => void
 
-/** The target that a request's key is decided under: its model, or its plain service. */
+/** The target under which a request's key is registered: its model, or its plain service. */
 export const targetOf = (request: Pick<RunRequest, 'model' | 'service'>): RunRequest['model'] =>
   request.model as string === '' ? request.service as string as RunRequest['model'] : request.model
 
 /** The admission of one agent. */
 export interface Admission {
   readonly start: HandleStart
-  /** Why the agreed state as read so far lets a request not start here; undefined where it does or the agent leaves. */
+  /** Why the agreed state as read so far forbids the request here; undefined if it allows it or the agent is draining. */
   readonly refusalByState: (attempt: Pick<Attempt, 'request'>) => RefusalNote | undefined
 }
 
-/** Makes the admission of one agent. */
+/** Creates the admission of one agent. */
 export const createAdmission = (options: Options): Admission => {
   const { context: { timers, events, instance, incarnation, settings, decisions }, attempts, queue, permits, backend, dispatcher, estimates } = options
 
-  const unlessResent = (request: RunRequest): (details: Parameters<typeof notRun>[0]) => RefusalNote =>
+  const notRunUnlessResent = (request: RunRequest): (details: Parameters<typeof notRun>[0]) => RefusalNote =>
     request.resendCount === 0 ? notRun : mayHaveRun
 
-  /** Why the agent as such may not start it: it does not know yet what it may do. */
-  const refusalByStanding = (attempt: Pick<Attempt, 'request'>): RefusalNote | undefined => {
+  /** Refuses while the agent has not read the agreed state, or is not announced and would have to load. */
+  const refusalByReadiness = (attempt: Pick<Attempt, 'request'>): RefusalNote | undefined => {
     if (!options.isReady()) return notRun({ reason: RefusalReason.UNAVAILABLE, detail: 'the agent has just started', step: 'agent.start', peer: instance })
-    // Guards against an outage of the log in which every restarted agent serves nothing: what its engine
-    // holds it held before, so serving it adds no replica.
+    // Without the check of canStart, every agent that restarts during a log outage would serve nothing. Its engine
+    // already held these models before the restart, so serving them adds no replica.
     if (!options.isAnnounced() && !backend.canStart(attempt)) {
       return notRun({ reason: RefusalReason.UNAVAILABLE, detail: 'the agent may not load before the log has named it', step: 'agent.start', peer: instance })
     }
@@ -76,13 +76,13 @@
   }
 
   const refusalByState: Admission['refusalByState'] = attempt =>
-    options.isDraining() ? undefined : refusalByStanding(attempt) ?? backend.refusalFor(attempt)
+    options.isDraining() ? undefined : refusalByReadiness(attempt) ?? backend.refusalFor(attempt)
 
-  /** Why the request cannot be taken here now; nothing of it has run through this agent. */
+  /** Why the request cannot be admitted now. It has not run through this agent. */
   const findRefusal = (attempt: Pick<Attempt, 'request'>): RefusalNote | undefined => {
     const { request } = attempt
-    const unready = refusalByStanding(attempt)
-    if (unready) return unready
+    const notReady = refusalByReadiness(attempt)
+    if (notReady) return notReady
     if (options.isDraining()) return notRun({ reason: RefusalReason.STOPPING, detail: 'the agent is leaving', step: 'leaving.refuse', peer: instance })
     const refusal = backend.refusalFor(attempt)
     if (refusal) return refusal
@@ -109,27 +109,27 @@
     if (verdict.kind === 'admit') return undefined
     estimates.noteRefusal()
     if (backend.readyInMs(attempt) > 0) {
-      options.wakes.note(request)
-      dispatcher.poke()
+      options.loadRequests.add(request)
+      dispatcher.schedulePump()
     }
     return notRun({ reason: RefusalReason.OVERLOADED, detail: verdict.detail, step: 'queueing.admit', peer: instance, retryAfterMs: verdict.retryAfterMs })
   }
 
   const checkPermit = ({ attemptId, request }: Start, permit: Permit): RefusalNote | undefined => {
-    const isOwn = permit.executor === instance && (permit.executorIncarnation === incarnation || permit.executorIncarnation as string === '')
-    const isForIt = permit.attemptId === attemptId && permit.caller === request.caller && permit.requestKey === request.requestKey
-    if (!isOwn || !isForIt) {
+    const isForThisAgent = permit.executor === instance && (permit.executorIncarnation === incarnation || permit.executorIncarnation as string === '')
+    const isForRequest = permit.attemptId === attemptId && permit.caller === request.caller && permit.requestKey === request.requestKey
+    if (!isForThisAgent || !isForRequest) {
       return mayHaveRun({ reason: RefusalReason.ANSWER_LOST, detail: 'the permit is for another run', step: 'once.permit', peer: instance, retryAfterMs: 0 })
     }
-    // A permit that was under way for longer than the window may be one that its holder has forgotten.
+    // The holder may have forgotten a permit that was in transit for longer than the window.
     if (request.issuedAtMs < timers.unixMs() - ONCE_WINDOW_MS) {
-      return unlessResent(request)({ reason: RefusalReason.KEY_EXPIRED, detail: 'the key is too old', step: 'once.permit', peer: instance, retryAfterMs: 0 })
+      return notRunUnlessResent(request)({ reason: RefusalReason.KEY_EXPIRED, detail: 'the key is too old', step: 'once.permit', peer: instance, retryAfterMs: 0 })
     }
     return undefined
   }
 
-  /** Obtains the word of the own permit ledger; the id is that of the attempt to run. */
-  const askOwnLedger = ({ attemptId, request }: Start): AttemptId | RefusalNote => {
+  /** Requests a permit from this agent's own ledger. Returns the id of the attempt to run, or a refusal. */
+  const requestOwnPermit = ({ attemptId, request }: Start): AttemptId | RefusalNote => {
     const reply = permits.ask({ target: targetOf(request), request, attemptId, executor: instance, executorIncarnation: incarnation })
     if (reply.kind === 'granted') return attemptId
     if (reply.kind === 'refused') return reply.refusal
@@ -140,8 +140,8 @@
   const enqueue = (attempt: Attempt): void => {
     queue.add(attempt, backend.readyInMs(attempt) + options.secondsAhead(attempt.request) * MS_PER_SECOND)
     events.emit(AgentEvent.attemptQueued, { ...attemptFields(attempt), version: backend.versionOf(attempt), adapter: attempt.request.adapter, count: queue.count() })
-    attempts.tell(attempt.id, backend.progressOf(attempt))
-    dispatcher.poke()
+    attempts.sendProgress(attempt.id, backend.progressOf(attempt))
+    dispatcher.schedulePump()
   }
 
   const take = (id: AttemptId, start: Start, subscriber: Subscriber): Attempt => {
@@ -150,7 +150,7 @@
     return attempt
   }
 
-  /** The attempt to run a request under that may not be repeated, or why it may not run. */
+  /** Returns the attempt id under which a non-repeatable request runs, or why it may not run. */
   const decideOnce = (start: Start): AttemptId | RefusalNote => {
     const { request, permit, attemptId } = start
     const fault = permit && checkPermit(start, permit)
@@ -158,14 +158,14 @@
     const refusal = findRefusal(start)
     if (refusal && !permit && request.resendCount > 0) return { ...refusal, runState: RunState.MAY_HAVE_RUN }
     if (refusal) return refusal
-    return permit ? attemptId : askOwnLedger(start)
+    return permit ? attemptId : requestOwnPermit(start)
   }
 
   const startOnce = (start: Start, subscriber: Subscriber): void => {
-    const word = decideOnce(start)
-    const attempt = take(typeof word === 'string' ? word : start.attemptId, start, subscriber)
-    if (typeof word === 'string') enqueue(attempt)
-    else attempts.refuse(attempt.id, word)
+    const decision = decideOnce(start)
+    const attempt = take(typeof decision === 'string' ? decision : start.attemptId, start, subscriber)
+    if (typeof decision === 'string') enqueue(attempt)
+    else attempts.refuse(attempt.id, decision)
   }
 
   const handleStart: HandleStart = (start, subscriber) => {
--- a/packages/agent/src/agent/createAgent.test.ts
+++ b/packages/agent/src/agent/createAgent.test.ts
@@ -14,8 +14,8 @@
     expect(log.state().agents.get('agent-1' as InstanceName)?.incarnation).to.equal(incarnation)
   })
 
-  // A burst of requests for a cold model reaches one agent. Loaded once for each, the model
-  // would take the memory several times over and callers would wait for every load.
+  // Several requests for a cold model arrive at one agent. One load per request would reserve the model's memory
+  // several times, and callers would wait for all of the loads.
   it('loads once for a burst', async () => {
     const { engine, advance, connect, grant } = await startAgentForTest()
     grant(replica)
@@ -30,7 +30,7 @@
     expect(engine.peakRunning()).to.be.at.most(4)
   })
 
-  it('refuses what it has no right for', async () => {
+  it('refuses a model that it has no right for', async () => {
     const { advance, connect, engine } = await startAgentForTest()
     const router = connect()
     router.start('a')
@@ -39,7 +39,7 @@
     expect(engine.orders).to.deep.equal([])
   })
 
-  it('passes over a message that it does not know', async () => {
+  it('ignores messages of an unknown type or shape', async () => {
     const { advance, connect, grant, events } = await startAgentForTest()
     grant(replica)
     const router = connect()
@@ -51,7 +51,7 @@
     expect(events('badInput')).to.have.length(2)
   })
 
-  it('refuses at its deadline', async () => {
+  it('refuses a waiting request at its deadline', async () => {
     const { advance, connect, grant, engine } = await startAgentForTest()
     engine.knobs.loadMs = 5_000
     grant(replica)
@@ -59,18 +59,18 @@
     router.start('a', { remainingMs: 1_000 })
     await advance(1_200)
     expect(router.refusalOf('a')).to.include({ runState: RunState.NOT_RUN, reason: RefusalReason.DEADLINE })
-    const waits = router.heard.filter(message => message.type === 'progress')
+    const waits = router.received.filter(message => message.type === 'progress')
     expect(waits.length).to.be.at.least(2)
   })
 
-  it('keeps the smallest number of replicas loaded', async () => {
+  it('keeps the minimum number of replicas loaded', async () => {
     const { advance, grant, engine } = await startAgentForTest({ models: [modelSpec('m', { minReplicas: 1 })] })
     grant(replica)
     await advance(400)
     expect(engine.residents().map(({ model, state }) => [model, state])).to.deep.equal([[MODEL, 'ready']])
   })
 
-  it('unloads at start what it holds no right for', async () => {
+  it('unloads on start the models that it has no right for', async () => {
     const under = await startAgentForTest()
     under.grant(replica)
     under.connect().start('a')
--- a/packages/agent/src/agent/createAgent.ts
+++ b/packages/agent/src/agent/createAgent.ts
@@ -1,25 +1,25 @@
 import { runInBackground } from '@figmount/base'
 import { createAttemptStore } from '../attempts/createAttemptStore.js'
 import { createAuthority } from '../authority/createAuthority.js'
-import { createLinkBook } from '../links/createLinkBook.js'
+import { createLinkRegistry } from '../links/createLinkRegistry.js'
 import { createStartHold } from '../links/createStartHold.js'
 import { runRouterLink } from '../links/runRouterLink.js'
 import { createDrain } from '../leaving/createDrain.js'
 import { watchInstances } from '../membership/watchInstances.js'
-import { FORGET_MS } from '../once/constants.js'
+import { KEY_SWEEP_MS } from '../once/constants.js'
 import { createPermitLedger } from '../once/createPermitLedger.js'
 import { PROGRESS_MS, PUMP_MS } from '../queueing/constants.js'
 import { createQueue } from '../queueing/createQueue.js'
-import { createWakes } from '../queueing/createWakes.js'
+import { createLoadRequests } from '../queueing/createLoadRequests.js'
 import { viewDemands } from '../queueing/viewDemands.js'
 import { createEstimates } from '../queueing/createEstimates.js'
-import { secondsAhead, secondsInAll, tokensQueued } from '../queueing/workAhead.js'
+import { secondsAhead, totalSeconds, queuedTokens } from '../queueing/workAhead.js'
 import { makeReport } from '../reporting/makeReport.js'
 import { createReliableAppender } from '../rights/appendReliably.js'
 import { createRightsKeeper } from '../rights/createRightsKeeper.js'
 import { isAnnounced, keepAnnounced } from '../rights/keepAnnounced.js'
 import { findSlot } from '../loading/slots.js'
-import { createSuspectBook } from '../suspects/createSuspectBook.js'
+import { createSuspectTracker } from '../suspects/createSuspectTracker.js'
 import { createAdmission, targetOf } from './createAdmission.js'
 import { createDispatcher } from './createDispatcher.js'
 import { createEngineBackend } from './createEngineBackend.js'
@@ -28,9 +28,9 @@
 import type { ModelId } from '@figmount/base'
 import type { AgentReport, LinkContext } from '@figmount/peers'
 import type { EngineClient } from '../engine/types.js'
-import type { RouterLink } from '../links/createLinkBook.js'
+import type { RouterLink } from '../links/createLinkRegistry.js'
 import type { Demand } from '../loading/types.js'
-import type { Wake } from '../queueing/createWakes.js'
+import type { LoadRequest } from '../queueing/createLoadRequests.js'
 import type { ReadListing } from '../membership/watchInstances.js'
 import type { AgentContext } from './types.js'
 import type { EngineBackend } from './createEngineBackend.js'
@@ -45,57 +45,57 @@
   readonly readListing: ReadListing
 }
 
-/** A running agent without its listening port. */
+/** A running agent, not yet listening on a port. */
 export interface Agent {
   readonly linkContext: LinkContext
   readonly runLink: (link: RouterLink) => Promise<void>
   readonly report: () => AgentReport
-  /** Takes no new work, ends what there is, and stops. */
+  /** Refuses new work, finishes what is running and queued, and stops. */
   readonly stop: () => Promise<void>
 }
 
-/** Puts the parts of an agent together. */
+/** Creates an agent from its parts and connects them. */
 export const createAgent = ({ context, engine, readListing }: Options): Agent => {
   const { settings, events, timers, metrics, records, decisions, instance, incarnation } = context
   const stopping = new AbortController()
   const append = createReliableAppender(context, stopping.signal)
-  const links = createLinkBook(timers, () => records.state().nextOffset)
+  const links = createLinkRegistry(timers, () => records.state().nextOffset)
   const attempts = createAttemptStore({ timers, events, maxKeptBytes: settings.limits.kept_answers_mb * BYTES_PER_MB })
   const estimates = createEstimates(timers)
   const queue = createQueue({ ...decisions, timers, estimates })
-  const wakes = createWakes(timers)
+  const loadRequests = createLoadRequests(timers)
   let sequence = 0
   let demands: ReadonlyMap<ModelId, Demand> | undefined
 
   const instances = watchInstances({
-    instance, timers, events, periodMs: settings.tuning.list_ms, read: readListing, onChange: () => onNews()
+    instance, timers, events, periodMs: settings.tuning.list_ms, read: readListing, onChange: () => onStateChange()
   })
   const authority = createAuthority({ timers, events, confirmedAtMs: records.confirmedAtMs, listed: () => instances.current().listed })
-  const suspects = createSuspectBook({
+  const suspects = createSuspectTracker({
     context,
     append,
-    tellRouters: suspicion => links.sendAll({ type: 'suspect', instance, ...suspicion })
+    notifyRouters: suspicion => links.sendAll({ type: 'suspect', instance, ...suspicion })
   })
 
-  /** Wakes of models that cannot serve yet, with the version that the configuration means. */
-  const openWakes = (): readonly Wake[] => {
+  /** Load requests of models that are not ready yet; an empty version becomes the configured current one. */
+  const openLoadRequests = (): readonly LoadRequest[] => {
     if (!engineBackend) return []
-    const open: Wake[] = []
-    for (const wake of wakes.current()) {
-      const version = wake.version === '' ? engineBackend.planOf(wake.model)?.spec.currentVersion ?? '' : wake.version
-      const slot = findSlot(engineBackend.loader.state(), wake.model)
-      if (slot.phase === 'ready' && slot.version === version) wakes.settle(wake.model)
-      else open.push({ ...wake, version })
+    const open: LoadRequest[] = []
+    for (const loadRequest of loadRequests.current()) {
+      const version = loadRequest.version === '' ? engineBackend.planOf(loadRequest.model)?.spec.currentVersion ?? '' : loadRequest.version
+      const slot = findSlot(engineBackend.loader.state(), loadRequest.model)
+      if (slot.phase === 'ready' && slot.version === version) loadRequests.remove(loadRequest.model)
+      else open.push({ ...loadRequest, version })
     }
     return open
   }
 
   const currentDemands = (): ReadonlyMap<ModelId, Demand> => {
-    demands ??= viewDemands(queue.all(), dispatcher.running(), attempt => backend.versionOf(attempt), openWakes())
+    demands ??= viewDemands(queue.all(), dispatcher.running(), attempt => backend.versionOf(attempt), openLoadRequests())
     return demands
   }
 
-  const work = (): Parameters<typeof secondsInAll>[0] => ({
+  const work = (): Parameters<typeof totalSeconds>[0] => ({
     queued: queue.all(),
     running: dispatcher.running(),
     pace: dispatcher.pace(),
@@ -103,7 +103,7 @@
       Math.max(1, estimates.expectedTokens(request) - (tokenCount - request.doneTokens.length))
   })
 
-  const queuedMs = (): number => secondsAhead(work(), tokensQueued(work())) * MS_PER_SECOND
+  const queuedMs = (): number => secondsAhead(work(), queuedTokens(work())) * MS_PER_SECOND
 
   const onDeath = (backendRun: string): void =>
     suspects.reportDeath(`${instance}/${backendRun}`, dispatcher.running())
@@ -117,7 +117,7 @@
     demands: currentDemands,
     queuedMs,
     onDeath,
-    poke: () => dispatcher.poke()
+    schedulePump: () => dispatcher.schedulePump()
   })
   const backend = engineBackend ?? createPlainBackend({ context, queuedMs, onDeath })
 
@@ -129,8 +129,8 @@
       const slot = findSlot(engineBackend.loader.state(), model)
       return engineBackend.watch.isUp() && slot.phase === 'cold' && !slot.openOrder
     },
-    isGivingUp: () => drain.isGivingUp(),
-    onChange: () => onNews()
+    isReleasingAll: () => drain.isReleasingAll(),
+    onChange: () => onStateChange()
   })
 
   const permits = createPermitLedger({
@@ -173,18 +173,18 @@
     refreshListing: instances.refresh,
     isIdle,
     isDelivered: () => attempts.isDelivered() && links.bufferedBytes() === 0,
-    hasGivenUp: () => !isAnnounced(context) || (rights.current().slots.size === 0 && rights.current().keys.size === 0),
+    hasReleasedAll: () => !isAnnounced(context) || (rights.current().slots.size === 0 && rights.current().keys.size === 0),
     cancelAll: dispatcher.cancelAll,
     onChange: reason => {
       if (reason === 'stop' || reason === 'instanceList') links.sendAll({ type: 'leaving', instance })
-      dispatcher.poke()
+      dispatcher.schedulePump()
     }
   })
 
-  const onNews = (): void => {
+  const onStateChange = (): void => {
     drain.update()
-    hold.review()
-    dispatcher.poke()
+    startHold.recheck()
+    dispatcher.schedulePump()
   }
 
   const report = (): AgentReport => makeReport({
@@ -193,7 +193,7 @@
     queued: [...queue.all()],
     running: dispatcher.running(),
     pace: dispatcher.pace(),
-    queuedSeconds: secondsInAll(work()),
+    queuedSeconds: totalSeconds(work()),
     nowMs: timers.nowMs(),
     ...(engineBackend
       ? { engine: { state: engineBackend.loader.state(), slots: rights.current().slots, demands: currentDemands(), planOf: engineBackend.planOf } }
@@ -202,7 +202,7 @@
 
   const admission = createAdmission({
     context,
-    wakes,
+    loadRequests,
     attempts,
     queue,
     permits,
@@ -215,7 +215,7 @@
     isReady: records.isReady,
     isAnnounced: () => isAnnounced(context)
   })
-  const hold = createStartHold({ context, refusalByState: admission.refusalByState, highestOffset: links.highestOffset, start: admission.start })
+  const startHold = createStartHold({ context, refusalByState: admission.refusalByState, highestOffset: links.highestOffset, start: admission.start })
 
   metrics.gauge('agent_running_count', dispatcher.runningCount)
   metrics.gauge('agent_queued_count', queue.count)
@@ -232,9 +232,9 @@
   if (engineBackend) runInBackground(events, 'engine.inventory', engineBackend.watch.refresh())
   const timersRunning = [
     timers.every(PUMP_MS, dispatcher.pump),
-    timers.every(PROGRESS_MS, dispatcher.tellProgress),
+    timers.every(PROGRESS_MS, dispatcher.sendProgress),
     timers.every(PROGRESS_MS, attempts.sweep),
-    timers.every(FORGET_MS, permits.sweep)
+    timers.every(KEY_SWEEP_MS, permits.sweep)
   ]
 
   return {
@@ -249,13 +249,13 @@
     runLink: runRouterLink({
       context,
       attempts,
-      start: hold.take,
+      start: startHold.take,
       cancel: dispatcher.cancel,
-      dropHeld: hold.drop,
+      dropHeld: startHold.drop,
       askPermit: ({ attemptId, executor, executorIncarnation, request }) =>
         permits.ask({ target: targetOf(request), request, attemptId, executor, executorIncarnation }),
       withdrawPermit: permits.withdraw,
-      takeSuspicion: suspects.takeFast,
+      takeSuspicion: suspects.addFromPeer,
       report,
       onOpen: link => {
         links.add(link)
--- a/packages/agent/src/agent/createDispatcher.ts
+++ b/packages/agent/src/agent/createDispatcher.ts
@@ -18,22 +18,22 @@
 import type { RunEnd, RunOnBackend } from '../running/types.js'
 import type { AgentContext } from './types.js'
 
-/** What the dispatcher asks of the kind of backend server that it serves. */
+/** The operations that the dispatcher needs from a backend, for an engine or a plain service. */
 export interface BackendView {
   readonly isUp: () => boolean
   readonly batchSize: () => number
   /** True when the attempt's model, version and adapter are ready. */
   readonly canStart: (attempt: Pick<Attempt, 'request'>) => boolean
-  /** Why the attempt can never start here as things stand; undefined while it can. */
+  /** Why the attempt cannot run here under the current configuration and rights; undefined if it can. */
   readonly refusalFor: (attempt: Pick<Attempt, 'request'>) => RefusalNote | undefined
   readonly versionOf: (attempt: Pick<Attempt, 'request'>) => string
   readonly progressOf: (attempt: Attempt) => Progress
-  /** Expected time until the attempt's model is ready; 0 when it is. */
+  /** Expected time until the attempt's model is ready; 0 if it is ready. */
   readonly readyInMs: (attempt: Pick<Attempt, 'request'>) => number
-  /** Called when a run starts and ends; `wasIdle`: it is the first on its model. */
+  /** Called when a run starts and when it ends. `wasIdle` is true if no other run was using the model. */
   readonly onUse: (attempt: Attempt, wasIdle: boolean) => void
   readonly run: RunOnBackend
-  /** Called when a run shows that the backend server ended or cannot be reached. */
+  /** Called when the fault of a run shows that the backend server ended or is unreachable. */
   readonly onRunFault: (end: Extract<RunEnd, { kind: 'notRun' | 'interrupted' }>) => void
 }
 
@@ -43,13 +43,13 @@
   readonly queue: Queue
   readonly backend: BackendView
   readonly estimates: Estimates
-  /** How the request stands after earlier deaths of engines. */
+  /** The verdict on the request's fingerprint after earlier engine crashes. */
   readonly suspicionOf: (attempt: Attempt) => SuspectVerdict
-  /** Called when a request that may not be repeated turned out not to have run. */
+  /** Called when a request that was accepted turned out not to have run. */
   readonly onNotRun: (attempt: Attempt) => void
-  /** Called when a run brought a whole answer. */
+  /** Called when a run returned a complete answer. */
   readonly onAnswered: (attempt: Attempt) => void
-  /** Plans orders; called after starts, so that demand is current. */
+  /** Plans orders to the engine; called after starting runs, so that the demand is up to date. */
   readonly plan: () => void
 }
 
@@ -58,45 +58,46 @@
   readonly waiting: QueuedAttempt['waiting']
   readonly controller: AbortController
   readonly isSuspect: boolean
-  /** Tokens accounted for fairness when it started. */
+  /** Tokens accounted to its caller for fairness when the run started. */
   readonly accountedTokens: number
-  /** What the attempt is refused with when its run is cancelled. */
-  cancelNote: RefusalNote | undefined
+  /** The refusal to send when the run is cancelled. */
+  cancelRefusal: RefusalNote | undefined
 }
 
-/** Starts queued attempts as the backend server has room and follows their runs. */
+/** Starts queued attempts when the backend server has capacity, and follows their runs to the end. */
 export interface Dispatcher {
   readonly pump: () => void
-  /** Asks for a pump soon; many asks make one. */
-  readonly poke: () => void
+  /** Schedules one pump for the next turn of the event loop; repeated calls are merged. */
+  readonly schedulePump: () => void
   readonly running: () => readonly Attempt[]
   readonly runningCount: () => number
-  /** Ends an attempt that nobody wants any more. */
+  /** Cancels an attempt that no router is subscribed to any more. */
   readonly cancel: (id: AttemptId) => void
-  /** Ends everything that is left, for a stop at its deadline. */
+  /** Cancels all queued and running attempts, at the deadline of a stop. */
   readonly cancelAll: () => void
   readonly pace: () => Pace
-  readonly tellProgress: () => void
+  readonly sendProgress: () => void
 }
 
-/** What is true of a run that is ended before its answer is whole. */
-const runNote = (attempt: Attempt, options: Parameters<typeof ran>[0]): RefusalNote =>
+/** Refusal of a run that ends before its answer is complete; the run state depends on whether bytes were sent. */
+const refusalForRun = (attempt: Attempt, options: Parameters<typeof ran>[0]): RefusalNote =>
   attempt.reached ? ran(options) : mayHaveRun(options)
 
-/** Makes the dispatcher of one agent. */
+/** Creates the dispatcher of one agent. */
 export const createDispatcher = (options: Options): Dispatcher => {
   const { context: { timers, events, instance, decisions }, attempts, queue, backend, estimates } = options
   const runs = new Map<AttemptId, Run>()
   let tokenIntervalMs = ASSUMED_TOKEN_INTERVAL_MS
-  let isMeasured = false
-  let isPoked = false
+  let hasMeasuredInterval = false
+  let isPumpScheduled = false
 
   const running = (): readonly Attempt[] => [...runs.values()].map(run => run.attempt)
 
-  const measure = (intervalMs: number): void => {
-    // The assumption ends with the first measurement: smoothed out, it has a fast server refuse for a minute.
-    const weight = isMeasured ? INTERVAL_SMOOTHING : 1
-    isMeasured = true
+  const updateTokenInterval = (intervalMs: number): void => {
+    // The first measurement replaces the assumed interval. Smoothed out instead, the assumption made a fast server
+    // refuse requests for a minute.
+    const weight = hasMeasuredInterval ? INTERVAL_SMOOTHING : 1
+    hasMeasuredInterval = true
     tokenIntervalMs += weight * (intervalMs - tokenIntervalMs)
   }
 
@@ -118,23 +119,23 @@
     }
   }
 
-  const stopOverdue = (): void => {
+  const stopExpiredRuns = (): void => {
     const nowMs = timers.nowMs()
     for (const run of runs.values()) {
       const { attempt } = run
-      if (run.cancelNote) continue
-      // A request that may not be repeated runs on: its answer is kept for a resend.
+      if (run.cancelRefusal) continue
+      // A non-repeatable request runs on after its deadline: its answer is stored for a resend.
       if (!attempt.request.repeatable) continue
       if (attempt.deadlineAtMs <= nowMs) {
-        stopRun(run, runNote(attempt, { reason: RefusalReason.DEADLINE, detail: 'its run did not end before the deadline', step: 'running.deadline', peer: instance }))
+        stopRun(run, refusalForRun(attempt, { reason: RefusalReason.DEADLINE, detail: 'its run did not end before the deadline', step: 'running.deadline', peer: instance }))
       } else if (attempts.orphanedForMs(attempt.id) > ORPHAN_MS) {
-        stopRun(run, runNote(attempt, { reason: RefusalReason.STOPPING, detail: 'no router listens any more', step: 'running.orphan', peer: instance, retryAfterMs: 0 }))
+        stopRun(run, refusalForRun(attempt, { reason: RefusalReason.STOPPING, detail: 'no router listens any more', step: 'running.orphan', peer: instance, retryAfterMs: 0 }))
       }
     }
   }
 
   const stopRun = (run: Run, note: RefusalNote): void => {
-    run.cancelNote = note
+    run.cancelRefusal = note
     run.controller.abort()
   }
 
@@ -158,11 +159,11 @@
       attempts.refuse(run.attempt.id, mayHaveRun({ reason, detail: `interrupted: ${fault.message}`, step: fault.step, peer: instance }))
     })
     .with({ kind: 'cancelled' }, () => {
-      attempts.refuse(run.attempt.id, run.cancelNote ?? runNote(run.attempt, { reason: RefusalReason.STOPPING, detail: 'cancelled', step: 'running.cancel', peer: instance }))
+      attempts.refuse(run.attempt.id, run.cancelRefusal ?? refusalForRun(run.attempt, { reason: RefusalReason.STOPPING, detail: 'cancelled', step: 'running.cancel', peer: instance }))
     })
     .exhaustive()
 
-  const follow = async (run: Run, version: string): Promise<void> => {
+  const followRun = async (run: Run, version: string): Promise<void> => {
     const { attempt } = run
     const startedMs = timers.nowMs()
     let lastTokenMs = startedMs
@@ -175,22 +176,22 @@
       },
       onTokens: (firstTokenIndex, tokens) => {
         const nowMs = timers.nowMs()
-        if (prefillMs !== undefined) measure((nowMs - lastTokenMs) / tokens.length)
+        if (prefillMs !== undefined) updateTokenInterval((nowMs - lastTokenMs) / tokens.length)
         prefillMs ??= nowMs - startedMs
         lastTokenMs = nowMs
         attempts.addTokens(attempt.id, firstTokenIndex, tokens)
       }
     }, run.controller.signal)
-    // A run that fails in a way nobody thought of must still free its place in the batch and tell its router.
+    // An unexpected error must still release the batch slot and send a result to the router.
     const end = await task.catch((error: Error): RunEnd =>
       ({ kind: 'interrupted', fault: makeFault(FaultKind.Internal, 'running.follow', instance, error.message), died: false, incarnation: '' }))
     finish(run, end)
-    // Only at the end is an interval known to count it in, also of the first run.
-    if (prefillMs !== undefined && isMeasured) estimates.notePrefill(prefillMs / tokenIntervalMs)
+    // The prefill is counted in token intervals, and for the first run the interval is only known at its end.
+    if (prefillMs !== undefined && hasMeasuredInterval) estimates.notePrefill(prefillMs / tokenIntervalMs)
     runs.delete(attempt.id)
     queue.account(attempt, attempt.tokenCount - attempt.request.doneTokens.length - run.accountedTokens)
     backend.onUse(attempt, false)
-    poke()
+    schedulePump()
   }
 
   const start = ({ attempt, waiting, predictedWaitMs }: QueuedAttempt, isSuspect: boolean): void => {
@@ -200,15 +201,15 @@
     estimates.noteStart(waiting.expectedTokens)
     estimates.noteWait(predictedWaitMs, timers.nowMs() - attempt.arrivedAtMs)
     const version = backend.versionOf(attempt)
-    const run: Run = { attempt, waiting, controller: new AbortController(), isSuspect, accountedTokens, cancelNote: undefined }
+    const run: Run = { attempt, waiting, controller: new AbortController(), isSuspect, accountedTokens, cancelRefusal: undefined }
     const wasIdle = ![...runs.values()].some(other => other.attempt.request.model === attempt.request.model)
     runs.set(attempt.id, run)
     attempts.start(attempt.id, version)
     backend.onUse(attempt, wasIdle)
     events.emit(AgentEvent.attemptStarted, { ...attemptFields(attempt), version, waitMs: Math.round(timers.nowMs() - attempt.arrivedAtMs) })
     if (isSuspect) events.emit(AgentEvent.suspectAlone, attemptFields(attempt))
-    attempts.tell(attempt.id, { state: WaitState.RUNNING, estimatedWaitMs: 0 })
-    runInBackground(events, 'running.follow', follow(run, version))
+    attempts.sendProgress(attempt.id, { state: WaitState.RUNNING, estimatedWaitMs: 0 })
+    runInBackground(events, 'running.follow', followRun(run, version))
   }
 
   const hasSuspectRunning = (): boolean => {
@@ -218,18 +219,18 @@
     return false
   }
 
-  /** Refuses those that could not end in time if they started now, and yields the rest of those that can start. */
-  const shed = (): ReadyRequests => {
+  /** Refuses attempts that could not finish in time if started now, and returns the remaining ones that can start. */
+  const shedLate = (): ReadyRequests => {
     const ready = queue.ready(backend.canStart)
-    const hopeless = new Set(decisions.shedWaiting(ready, tokenIntervalMs, timers.nowMs()).map(({ id }) => id))
-    for (const id of hopeless) {
+    const shedIds = new Set(decisions.shedWaiting(ready, tokenIntervalMs, timers.nowMs()).map(({ id }) => id))
+    for (const id of shedIds) {
       const entry = queue.get(id)
-      if (entry) refuseHopeless(entry.attempt)
+      if (entry) refuseShed(entry.attempt)
     }
-    return ready.filter(({ id }) => !hopeless.has(id))
+    return ready.filter(({ id }) => !shedIds.has(id))
   }
 
-  const refuseHopeless = (attempt: Attempt): void => {
+  const refuseShed = (attempt: Attempt): void => {
     estimates.noteRefusal()
     const retryAfterMs = decisions.chooseRetryAfter({
       estimatedWaitMs: 0,
@@ -240,8 +241,8 @@
     refuseWaiting(attempt, notRun({ reason: RefusalReason.OVERLOADED, detail: 'it can no longer end before its deadline', step: 'queueing.shed', peer: instance, retryAfterMs }))
   }
 
-  /** Those that may start now: without the hopeless, and without long ones while these hold their part of the batch. */
-  const startable = (): ReadyRequests => decisions.limitLong(shed(), {
+  /** Attempts that may start now: long ones are left out while running ones fill their share of the batch. */
+  const startable = (): ReadyRequests => decisions.limitLong(shedLate(), {
     batchSlots: backend.batchSize(),
     running: [...runs.values()].map(run => run.waiting),
     meanTokens: estimates.meanTokens()
@@ -251,7 +252,7 @@
     while (backend.isUp() && runs.size < backend.batchSize() && !hasSuspectRunning()) {
       const next = queue.pick(startable())
       if (!next) return
-      // A suspect waits for what runs and nothing is started meanwhile, or it would wait for ever.
+      // A suspect runs alone. Nothing else is started while it waits for the current runs, or it would wait indefinitely.
       const isSuspect = options.suspicionOf(next.attempt) === 'suspect'
       if (isSuspect && runs.size > 0) return
       start(next, isSuspect)
@@ -260,16 +261,16 @@
 
   const pump = (): void => {
     refuseExpired()
-    stopOverdue()
+    stopExpiredRuns()
     startReady()
     options.plan()
   }
 
-  const poke = (): void => {
-    if (isPoked) return
-    isPoked = true
+  const schedulePump = (): void => {
+    if (isPumpScheduled) return
+    isPumpScheduled = true
     timers.after(0, () => {
-      isPoked = false
+      isPumpScheduled = false
       pump()
     })
   }
@@ -282,30 +283,30 @@
 
   return {
     pump,
-    poke,
+    schedulePump,
     running,
     runningCount: () => runs.size,
     cancel: id => {
       const attempt = attempts.get(id)
-      // The caller of a request that may not be repeated comes back with its key and joins it.
+      // The caller of a non-repeatable request resends its key and joins the running attempt.
       if (!attempt?.request.repeatable) return
       events.emit(AgentEvent.attemptCancelled, attemptFields(attempt))
       const run = runs.get(id)
-      if (run) stopRun(run, runNote(attempt, { reason: RefusalReason.STOPPING, detail: 'cancelled', step: 'running.cancel', peer: instance, retryAfterMs: 0 }))
+      if (run) stopRun(run, refusalForRun(attempt, { reason: RefusalReason.STOPPING, detail: 'cancelled', step: 'running.cancel', peer: instance, retryAfterMs: 0 }))
       else cancelQueued(id)
-      poke()
+      schedulePump()
     },
     cancelAll: () => {
       for (const { attempt } of [...queue.all()]) {
         refuseWaiting(attempt, notRun({ reason: RefusalReason.STOPPING, detail: 'the agent stops', step: 'leaving.deadline', peer: instance }))
       }
       for (const run of runs.values()) {
-        stopRun(run, runNote(run.attempt, { reason: RefusalReason.STOPPING, detail: 'the agent stops', step: 'leaving.deadline', peer: instance }))
+        stopRun(run, refusalForRun(run.attempt, { reason: RefusalReason.STOPPING, detail: 'the agent stops', step: 'leaving.deadline', peer: instance }))
       }
     },
     pace: () => ({ tokenIntervalMs, batchSize: backend.batchSize() }),
-    tellProgress: () => {
-      for (const { attempt } of queue.all()) attempts.tell(attempt.id, backend.progressOf(attempt))
+    sendProgress: () => {
+      for (const { attempt } of queue.all()) attempts.sendProgress(attempt.id, backend.progressOf(attempt))
     }
   }
 }
--- a/packages/agent/src/agent/createEngineBackend.ts
+++ b/packages/agent/src/agent/createEngineBackend.ts
@@ -28,13 +28,13 @@
   readonly rights: () => HeldRights
   readonly isDraining: () => boolean
   readonly demands: () => ReadonlyMap<ModelId, Demand>
-  /** Work ahead of a new request, for what waiting ones are told. */
+  /** Time that the queued work takes, for the estimate sent to waiting requests. */
   readonly queuedMs: () => number
   readonly onDeath: (incarnation: string) => void
-  readonly poke: () => void
+  readonly schedulePump: () => void
 }
 
-/** The side of the agent that serves a model engine. */
+/** The backend of an agent whose backend server is a model engine. */
 export interface EngineBackend extends BackendView {
   readonly loader: Loader
   readonly watch: EngineWatch
@@ -43,19 +43,19 @@
   readonly stop: () => void
 }
 
-/** Makes the part that serves a model engine. */
+/** Creates the backend for a model engine. */
 export const createEngineBackend = (options: Options): EngineBackend => {
-  const { context, engine, authority, rights, poke } = options
+  const { context, engine, authority, rights, schedulePump } = options
   const { settings, timers, events, records, decisions, instance } = context
 
-  const loader = createLoader({ engine, timers, events, kvCacheMb: settings.limits.kv_cache_mb, backOffLoad: decisions.backOffLoad, random: decisions.random, onChange: poke })
+  const loader = createLoader({ engine, timers, events, kvCacheMb: settings.limits.kv_cache_mb, backOffLoad: decisions.backOffLoad, random: decisions.random, onChange: schedulePump })
   const watch = createEngineWatch({
     engine,
     timers,
     events,
     onInventory: loader.takeInventory,
     onDeath: options.onDeath,
-    onChange: poke
+    onChange: schedulePump
   })
 
   const planOf = (model: ModelId): ModelPlan | undefined => {
@@ -122,16 +122,16 @@
     versionOf,
     progressOf,
     readyInMs: ({ request }) => readyInMs(loader.state(), findSlot(loader.state(), request.model), timers.nowMs()),
-    onUse: ({ request }, wasIdle) => loader.touch(request.model, request.adapter, wasIdle),
+    onUse: ({ request }, wasIdle) => loader.recordUse(request.model, request.adapter, wasIdle),
     run: runOnEngine({ engine, timers, events, incarnation: () => watch.last()?.incarnation ?? '' }),
     onRunFault: end => {
       if (end.kind === 'interrupted' && end.died) watch.reportDeath(end.incarnation)
       else if (end.kind === 'notRun' && end.isBackendDown) watch.reportFault(end.fault)
-      // What the ledger believes may be wrong: the engine knows.
+      // The slots and the ledger may be out of date after a fault; the engine's inventory is authoritative.
       runInBackground(events, 'engine.inventory', watch.refresh())
     },
     plan: () => {
-      // Before the announcement is read back no right is known, and all that is loaded would seem to be without one.
+      // Before its own announcement is read back the agent sees no rights, and would unload every loaded model.
       if (!watch.isUp() || !isAnnounced(context)) return
       loader.plan({
         rights: rights().slots,
--- a/packages/agent/src/agent/createPlainBackend.ts
+++ b/packages/agent/src/agent/createPlainBackend.ts
@@ -2,7 +2,7 @@
 import { RefusalReason, WaitState } from '@figmount/schema'
 
 import { AgentEvent } from '../events.js'
-import { createPlainCaller } from '../plain/callPlain.js'
+import { createCallPlain } from '../plain/callPlain.js'
 import { probeService } from '../plain/probeService.js'
 import { runOnPlain } from '../running/runOnPlain.js'
 import { notRun } from './refusals.js'
@@ -13,16 +13,16 @@
 interface Options {
   readonly context: AgentContext
   readonly queuedMs: () => number
-  /** Called once for each death of the service. */
+  /** Called once each time the service process ends. */
   readonly onDeath: (incarnation: string) => void
 }
 
-/** Makes the part that serves a plain HTTP service; there is nothing to load and no slot to hold. */
+/** Creates the backend for a plain HTTP service, which has no models to load and no slots. */
 export const createPlainBackend = ({ context, queuedMs, onDeath }: Options): BackendView => {
   const { settings, timers, events, records, instance, incarnation } = context
   const { address, services } = settings.backend
   let deathCount = 0
-  const serviceRun = (): string => `${incarnation}.${deathCount}`
+  const serviceIncarnation = (): string => `${incarnation}.${deathCount}`
 
   return {
     isUp: () => true,
@@ -37,10 +37,10 @@
     progressOf: () => ({ state: WaitState.QUEUED, estimatedWaitMs: Math.round(queuedMs()) }),
     readyInMs: () => 0,
     onUse: () => {},
-    run: runOnPlain({ address, callPlain: createPlainCaller(address, timers), probe: async () => await probeService(address, timers), incarnation: serviceRun }),
+    run: runOnPlain({ address, callPlain: createCallPlain(address, timers), probe: async () => await probeService(address, timers), incarnation: serviceIncarnation }),
     onRunFault: end => {
-      // Calls that the same death broke off find the run counted up and are not reported again.
-      if (end.kind !== 'interrupted' || !end.died || end.incarnation !== serviceRun()) return
+      // Other calls that the same crash interrupted carry the previous incarnation and are not reported again.
+      if (end.kind !== 'interrupted' || !end.died || end.incarnation !== serviceIncarnation()) return
       events.emit(AgentEvent.engineDied, { peer: address, detail: end.incarnation })
       onDeath(end.incarnation)
       deathCount += 1
--- a/packages/agent/src/agent/startAgent.test.ts
+++ b/packages/agent/src/agent/startAgent.test.ts
@@ -32,10 +32,10 @@
   let agent: RunningProcess
   let records: RecordsClient
   let link: Link<RouterToAgentMessage, AgentToRouterMessage>
-  const heard: AgentToRouterMessage[] = []
+  const received: AgentToRouterMessage[] = []
 
   beforeEach(async () => {
-    heard.length = 0
+    received.length = 0
     const log = await standinOf({ kind: 'log' })
     const list = await standinOf({ kind: 'instances', instances: 'agent-1 agent aa-1 127.0.0.1:1 127.0.0.1:2' })
     const engine = await standinOf({ kind: 'engine', token_interval_ms: '2', prefill_ms: '1' })
@@ -52,7 +52,7 @@
     records = createRecordsClient({ ...common, address: log.address, incarnation: makeIncarnation(1) })
     const opened = await openLink<RouterToAgentMessage, AgentToRouterMessage>(agent.address, { ...common, sharedKey: 'k', offset: () => 0 as LogOffset, onPeerOffset: () => {} }).run()
     link = opened.unsafeCoerce()
-    const read = async (): Promise<void> => { for await (const message of link.received) heard.push(message) }
+    const read = async (): Promise<void> => { for await (const message of link.received) received.push(message) }
     read().catch(error => { throw error })
     stops.push(log.stop, list.stop, engine.stop, records.stop)
     await until(() => records.state().agents.has('agent-1' as InstanceName))
@@ -62,7 +62,7 @@
     await records.append({ kind: 'right.grant', right: { kind: 'replica', target: MODEL, slotIndex: 0 }, instance: facts.instance, incarnation: facts.incarnation, expectedFence: 0 }).run()
     link.send({ type: 'hello', instance: router, incarnation: makeIncarnation(1), role: 'router' })
     link.send({ type: 'heartbeat', sentAtMs: 0 })
-    await until(() => heard.some(message => (message.type === 'heartbeat.ack' || message.type === 'welcome') && message.report?.models.length === 1) || (link.send({ type: 'heartbeat', sentAtMs: 0 }), false))
+    await until(() => received.some(message => (message.type === 'heartbeat.ack' || message.type === 'welcome') && message.report?.models.length === 1) || (link.send({ type: 'heartbeat', sentAtMs: 0 }), false))
   })
 
   afterEach(async () => {
@@ -72,13 +72,13 @@
 
   it('answers from a cold model and stops gracefully', async () => {
     link.send({ type: 'start', attemptId: 'a' as AttemptId, request: aRequest(timers.unixMs(), { prompt: 'north wall', maxTokens: 8 }) })
-    await until(() => heard.some(({ type }) => type === 'tokens'))
+    await until(() => received.some(({ type }) => type === 'tokens'))
     const stopped = agent.stop()
-    await until(() => heard.some(({ type }) => type === 'final'))
+    await until(() => received.some(({ type }) => type === 'final'))
     link.send({ type: 'ack', attemptId: 'a' as AttemptId, belowFrame: 1_000 })
     await stopped
-    const tokens = heard.flatMap(message => message.type === 'tokens' ? message.tokens : [])
+    const tokens = received.flatMap(message => message.type === 'tokens' ? message.tokens : [])
     expect(tokens).to.deep.equal(expectedTokens({ model: MODEL, version: 'v1', adapter: '', prompt: 'north wall' }, 8))
-    expect(heard.some(({ type }) => type === 'leaving')).to.equal(true)
+    expect(received.some(({ type }) => type === 'leaving')).to.equal(true)
   })
 })
--- a/packages/agent/src/agent/startAgent.ts
+++ b/packages/agent/src/agent/startAgent.ts
@@ -14,7 +14,7 @@
 import type { AgentSettings } from '../settings/agentSettings.js'
 import type { AgentContext, AgentDecisions } from './types.js'
 
-/** The decisions that the binary uses. */
+/** The decision functions used in production. */
 const chooseDecisions = (seed: number): AgentDecisions => {
   const generator = xoroshiro128plus(seed)
   return {
@@ -33,7 +33,7 @@
   }
 }
 
-/** Starts an agent: follows the log, takes stock of its backend server and listens for routers. */
+/** Starts an agent: reads the log, takes the inventory of its backend server and accepts connections from routers. */
 export const startAgent = async ({ settings, events, timers, metrics }: ProcessContext<AgentSettings>): Promise<RunningProcess> => {
   const instance = settings.process.instance as InstanceName
   const startedAtMs = timers.unixMs()
--- a/packages/agent/src/agent/types.ts
+++ b/packages/agent/src/agent/types.ts
@@ -3,7 +3,7 @@
 import type { RecordsClient } from '@figmount/records'
 import type { AgentSettings } from '../settings/agentSettings.js'
 
-/** The decisions under load that the agent is given. */
+/** The load decisions of the agent, injected so that tests can replace each of them. */
 export interface AgentDecisions {
   readonly admit: Admit
   readonly pickNext: PickNext
@@ -11,7 +11,7 @@
   readonly estimateAhead: EstimateAhead
   readonly limitLong: LimitLong
   readonly shedWaiting: ShedWaiting
-  /** Says when those come back that are given up while they wait. */
+  /** Chooses the retry-after of requests that are shed while they wait. */
   readonly chooseRetryAfter: ChooseRetryAfter
   readonly keepAlive: KeepAlive
   readonly chooseVictims: ChooseVictims
@@ -21,7 +21,7 @@
   readonly random: () => number
 }
 
-/** What the parts of the agent share. */
+/** Dependencies that all parts of the agent share. */
 export interface AgentContext {
   readonly settings: AgentSettings
   readonly events: EventLog
--- a/packages/agent/src/attempts/attempts.test.ts
+++ b/packages/agent/src/attempts/attempts.test.ts
@@ -16,7 +16,7 @@
 }
 
 const framesOf = (router: FakeRouter): readonly number[] =>
-  router.heard.flatMap(message => message.type === 'tokens' || message.type === 'final' ? [message.frame] : [])
+  router.received.flatMap(message => message.type === 'tokens' || message.type === 'final' ? [message.frame] : [])
 
 const idOf = (text: string): AttemptId => text as AttemptId
 
@@ -29,8 +29,8 @@
     expect(router.tokensOf('a')).to.have.length(30)
   })
 
-  // The router's connection breaks in the middle of an answer and it dials again. Started
-  // anew the answer would be doubled; without the kept frames it would have a gap.
+  // The router's connection breaks in the middle of an answer and the router reconnects. Running the attempt again
+  // would duplicate tokens; without the stored frames tokens would be missing.
   it('are resumed at a frame over a new link', async () => {
     const { under, router } = await started()
     router.start('a', { maxTokens: 40 })
@@ -54,14 +54,14 @@
     router.send({ type: 'resume', attemptId: idOf('a'), fromFrame: 0 })
     router.send({ type: 'resume', attemptId: idOf('never'), fromFrame: 0 })
     await under.advance(20)
-    expect(router.heard.filter(({ type }) => type === 'unknown')).to.deep.equal([
+    expect(router.received.filter(({ type }) => type === 'unknown')).to.deep.equal([
       { type: 'unknown', attemptId: 'a', incarnation: under.incarnation },
       { type: 'unknown', attemptId: 'never', incarnation: under.incarnation }
     ])
   })
 
-  // Two routers follow one attempt and the faster acknowledges. Frames dropped on its word
-  // would be missing at the slower one when it dials again.
+  // Two routers follow one attempt and the faster one acknowledges first. Dropping frames after its acknowledgement
+  // would leave a gap for the slower one when it reconnects.
   it('keep frames that a second router lacks', async () => {
     const { under, router } = await started()
     router.start('a', { maxTokens: 20 })
@@ -79,10 +79,10 @@
     third.send({ type: 'resume', attemptId: idOf('a'), fromFrame: 5 })
     await under.advance(500)
     expect(third.finalOf('a')?.tokenCount).to.equal(20)
-    expect(third.heard.some(({ type }) => type === 'unknown')).to.equal(false)
+    expect(third.received.some(({ type }) => type === 'unknown')).to.equal(false)
   })
 
-  it('end at the engine when the last router cancels', async () => {
+  it('are cancelled at the engine when the last router cancels', async () => {
     const { under, router } = await started()
     router.start('a', { maxTokens: 500 })
     await under.advance(200)
@@ -98,7 +98,7 @@
     expect(under.agent.report().runningCount).to.equal(0)
   })
 
-  it('run on without a router if they may not be repeated', async () => {
+  it('continue without a router if they are not repeatable', async () => {
     const { under, router } = await started()
     router.start('a', { repeatable: false, maxTokens: 200 })
     router.start('b', { prompt: 'b', maxTokens: 2_000 })
@@ -113,7 +113,7 @@
     expect(under.engine.cancelled).to.deep.equal(['b'])
   })
 
-  it('are refused at their deadline as run', async () => {
+  it('are refused at their deadline with run state RAN', async () => {
     const { under, router } = await started()
     router.start('a', { maxTokens: 500, remainingMs: 1_000 })
     await under.advance(1_200)
@@ -121,18 +121,18 @@
     expect(under.engine.cancelled).to.deep.equal(['a'])
   })
 
-  it('are forgotten after their time', async () => {
+  it('are removed when they expire', async () => {
     const { under, router } = await started()
     router.start('a', { remainingMs: 2_000 })
     await under.advance(2_000 + FINISHED_KEEP_MS + 1_500)
     router.send({ type: 'resume', attemptId: idOf('a'), fromFrame: 0 })
     await under.advance(20)
-    expect(router.heard.at(-1)?.type).to.equal('unknown')
+    expect(router.received.at(-1)?.type).to.equal('unknown')
   })
 
-  // Answers of many once requests are kept for resends. Without a bound they would fill the
-  // process's memory; dropped without a trace, a resend would run a second time.
-  it('drop the oldest kept answers beyond the bound and say that they ran', async () => {
+  // Answers of non-repeatable requests are stored for resends. Without a bound they would fill the process's memory;
+  // if an answer were dropped without a record of the run, a resend would run the request a second time.
+  it('drop the oldest stored answers beyond the bound and refuse resends as run', async () => {
     const under = await startAgentForTest({ limits: { kept_answers_mb: '0' } })
     under.grant({ kind: 'replica', target: MODEL, slotIndex: 0 })
     under.grant({ kind: 'keys', target: MODEL })
--- a/packages/agent/src/attempts/createAttemptStore.ts
+++ b/packages/agent/src/attempts/createAttemptStore.ts
@@ -3,7 +3,7 @@
 
 import { AgentEvent } from '../events.js'
 import { FINISHED_KEEP_MS, FRAME_GATHER_MS, FRAME_TOKEN_COUNT } from './constants.js'
-import { attemptFields, isOver, keyText, nextFrame, sizeOf, withoutListener } from './entry.js'
+import { attemptFields, hasEnded, keyText, nextFrame, sizeOf, withoutListener } from './entry.js'
 
 import type { AttemptId, EventLog, TimerService } from '@figmount/base'
 import type { Entry, Listener } from './entry.js'
@@ -15,12 +15,12 @@
   readonly maxKeptBytes: number
 }
 
-/** Makes the attempt store. */
+/** Creates the attempt store. */
 export const createAttemptStore = ({ timers, events, maxKeptBytes }: Options): AttemptStore => {
   const entries = new Map<AttemptId, Entry>()
   const aliases = new Map<AttemptId, AttemptId>()
   const idByKey = new Map<string, AttemptId>()
-  const dirty = new Set<Entry>()
+  const unflushed = new Set<Entry>()
   let keptBytes = 0
   let flushTimer: (() => void) | undefined
 
@@ -30,7 +30,7 @@
     }
   }
 
-  const keep = (entry: Entry, frame: Frame): void => {
+  const appendFrame = (entry: Entry, frame: Frame): void => {
     entry.frames.push(frame)
     const sizeBytes = sizeOf(frame)
     entry.keptBytes += sizeBytes
@@ -39,16 +39,16 @@
   }
 
   const flush = (entry: Entry): void => {
-    dirty.delete(entry)
-    const tokens = entry.gathered
+    unflushed.delete(entry)
+    const tokens = entry.pendingTokens
     if (tokens.length === 0) return
-    entry.gathered = []
-    keep(entry, { type: 'tokens', attemptId: entry.id, frame: nextFrame(entry), firstTokenIndex: entry.tokenCount - tokens.length, tokens })
+    entry.pendingTokens = []
+    appendFrame(entry, { type: 'tokens', attemptId: entry.id, frame: nextFrame(entry), firstTokenIndex: entry.tokenCount - tokens.length, tokens })
   }
 
   const flushAll = (): void => {
     flushTimer = undefined
-    for (const entry of dirty) flush(entry)
+    for (const entry of unflushed) flush(entry)
   }
 
   const dropFrames = (entry: Entry, belowFrame: number): void => {
@@ -62,12 +62,12 @@
     entry.firstFrame += count
   }
 
-  const freeKey = (entry: Entry): void => {
+  const releaseKey = (entry: Entry): void => {
     const key = keyText(entry.request)
     if (idByKey.get(key) === entry.id) idByKey.delete(key)
   }
 
-  /** An ended attempt is kept for its frames only: many large prompts would fill the memory. */
+  /** Clears the prompt of an ended attempt, which is stored only for its frames: many large prompts would fill the memory. */
   const dropPrompt = (entry: Entry): void => {
     const { plain: _plain, ...request } = entry.request
     entry.request = { ...request, prompt: '' }
@@ -75,13 +75,13 @@
 
   const forget = (entry: Entry): void => {
     dropFrames(entry, nextFrame(entry))
-    dirty.delete(entry)
+    unflushed.delete(entry)
     entries.delete(entry.id)
-    freeKey(entry)
-    for (const asId of entry.askedAs) aliases.delete(asId)
+    releaseKey(entry)
+    for (const asId of entry.aliasIds) aliases.delete(asId)
   }
 
-  /** Leaves of a kept answer only that it ran, so that a resend hears the truth. */
+  /** Drops a stored answer but remembers that the request ran, so that a resend is refused with the correct run state. */
   const dropAnswer = (entry: Entry): void => {
     dropFrames(entry, nextFrame(entry))
     entry.phase = 'refused'
@@ -89,13 +89,13 @@
     events.emit(AgentEvent.answerDropped, attemptFields(entry))
   }
 
-  const open = (id: AttemptId): Entry | undefined => {
+  const findOpen = (id: AttemptId): Entry | undefined => {
     const entry = entries.get(id)
-    return entry && !isOver(entry) ? entry : undefined
+    return entry && !hasEnded(entry) ? entry : undefined
   }
 
   const setListeners = (entry: Entry, listeners: readonly Listener[]): void => {
-    if (listeners.length === 0 && entry.listeners.length > 0) entry.orphanSinceMs = timers.nowMs()
+    if (listeners.length === 0 && entry.listeners.length > 0) entry.orphanedSinceMs = timers.nowMs()
     entry.listeners = listeners
   }
 
@@ -118,11 +118,11 @@
         startedAtMs: 0,
         frames: [],
         firstFrame: 0,
-        gathered: [],
+        pendingTokens: [],
         keptBytes: 0,
         listeners: [],
-        askedAs: new Set([id]),
-        orphanSinceMs: nowMs
+        aliasIds: new Set([id]),
+        orphanedSinceMs: nowMs
       }
       entries.set(id, entry)
       aliases.set(id, id)
@@ -140,7 +140,7 @@
       if (fromFrame < entry.firstFrame && entry.phase !== 'refused') return false
       flush(entry)
       aliases.set(asId, id)
-      entry.askedAs.add(asId)
+      entry.aliasIds.add(asId)
       setListeners(entry, [...withoutListener(entry, asId, subscriber), { asId, subscriber, ackedBelow: fromFrame }])
       for (const frame of entry.frames.slice(fromFrame - entry.firstFrame)) {
         subscriber.send({ ...frame, attemptId: asId })
@@ -165,14 +165,14 @@
       if (!entry) return
       const others = withoutListener(entry, asId, subscriber)
       if (others.length === entry.listeners.length) return
-      const isComplete = isOver(entry) && belowFrame >= nextFrame(entry)
+      const isComplete = hasEnded(entry) && belowFrame >= nextFrame(entry)
       setListeners(entry, isComplete ? others : [...others, { asId, subscriber, ackedBelow: belowFrame }])
       if (!entry.request.repeatable) return
       dropFrames(entry, Math.min(belowFrame, ...others.map(({ ackedBelow }) => ackedBelow)))
       if (isComplete && others.length === 0) forget(entry)
     },
     start: (id, version) => {
-      const entry = open(id)
+      const entry = findOpen(id)
       if (!entry) return
       entry.phase = 'running'
       entry.version = version
@@ -183,23 +183,23 @@
       if (entry) entry.reached = true
     },
     addTokens: (id, firstTokenIndex, tokens) => {
-      const entry = open(id)
+      const entry = findOpen(id)
       if (!entry) return
       const isFirst = entry.tokenCount === entry.request.doneTokens.length
-      for (const token of tokens) entry.gathered.push(token)
+      for (const token of tokens) entry.pendingTokens.push(token)
       entry.tokenCount = firstTokenIndex + tokens.length
-      // The first token goes out at once: callers measure it.
-      if (isFirst || entry.gathered.length >= FRAME_TOKEN_COUNT) return flush(entry)
-      dirty.add(entry)
+      // The first token is sent at once, because callers measure the time to the first token.
+      if (isFirst || entry.pendingTokens.length >= FRAME_TOKEN_COUNT) return flush(entry)
+      unflushed.add(entry)
       flushTimer ??= timers.after(FRAME_GATHER_MS, flushAll)
     },
     finish: (id, finishReason, plain) => {
-      const entry = open(id)
+      const entry = findOpen(id)
       if (!entry) return
       flush(entry)
       entry.phase = 'finished'
       dropPrompt(entry)
-      keep(entry, {
+      appendFrame(entry, {
         type: 'final', attemptId: id, frame: nextFrame(entry), tokenCount: entry.tokenCount, finishReason, version: entry.version, ...(plain ? { plain } : {})
       })
       events.emit(AgentEvent.attemptFinished, {
@@ -207,13 +207,13 @@
       })
     },
     refuse: (id, refusal) => {
-      const entry = open(id)
+      const entry = findOpen(id)
       if (!entry) return
       flush(entry)
       entry.phase = 'refused'
       entry.refusal = refusal
       dropPrompt(entry)
-      if (refusal.runState === RunState.NOT_RUN) freeKey(entry)
+      if (refusal.runState === RunState.NOT_RUN) releaseKey(entry)
       publish(entry, { type: 'refused', attemptId: id, refusal })
       events.emit(AgentEvent.attemptRefused, {
         ...attemptFields(entry),
@@ -224,18 +224,18 @@
         retryAfterMs: refusal.retryAfterMs
       })
     },
-    tell: (id, progress) => {
-      const entry = open(id)
+    sendProgress: (id, progress) => {
+      const entry = findOpen(id)
       if (entry) publish(entry, { type: 'progress', attemptId: id, ...progress })
     },
     orphanedForMs: id => {
       const entry = entries.get(id)
-      return entry && entry.listeners.length === 0 ? timers.nowMs() - entry.orphanSinceMs : 0
+      return entry && entry.listeners.length === 0 ? timers.nowMs() - entry.orphanedSinceMs : 0
     },
     sweep: () => {
       const nowMs = timers.nowMs()
       for (const entry of entries.values()) {
-        if (isOver(entry) && nowMs >= entry.keepUntilMs) forget(entry)
+        if (hasEnded(entry) && nowMs >= entry.keepUntilMs) forget(entry)
       }
       if (keptBytes <= maxKeptBytes) return
       for (const entry of entries.values()) {
@@ -245,7 +245,7 @@
     },
     isDelivered: () => {
       for (const entry of entries.values()) {
-        if (!isOver(entry)) return false
+        if (!hasEnded(entry)) return false
         if (entry.phase === 'finished' && entry.listeners.length > 0) return false
       }
       return true
--- a/packages/agent/src/attempts/entry.ts
+++ b/packages/agent/src/attempts/entry.ts
@@ -4,7 +4,7 @@
 import type { RefusalNote, RunRequest } from '@figmount/peers'
 import type { Attempt, AttemptPhase, Frame, KeyOfRequest, Subscriber } from './types.js'
 
-/** The store's own mutable copy of an attempt. */
+/** The store's mutable record of an attempt. */
 export interface Entry {
   readonly id: AttemptId
   request: RunRequest
@@ -17,29 +17,29 @@
   refusal?: RefusalNote
   version: string
   startedAtMs: number
-  /** Frames from number `firstFrame` on. */
+  /** Stored frames; the first one has the number `firstFrame`. */
   frames: Frame[]
   firstFrame: number
-  gathered: string[]
+  pendingTokens: string[]
   keptBytes: number
   listeners: readonly Listener[]
-  /** Ids that routers have asked for it with, its own included. */
-  readonly askedAs: Set<AttemptId>
-  orphanSinceMs: number
+  /** All attempt ids under which routers have requested this attempt, including its own id. */
+  readonly aliasIds: Set<AttemptId>
+  orphanedSinceMs: number
 }
 
-/** A router that follows an attempt, under the attempt id that it asked with. */
+/** A router subscribed to an attempt, with the attempt id (`asId`) that it uses for it. */
 export interface Listener {
   readonly subscriber: Subscriber
   readonly asId: AttemptId
-  /** Frames below this have reached the caller. */
+  /** Frames with lower numbers have been acknowledged. */
   readonly ackedBelow: number
 }
 
-/** Names a key among all callers and targets. */
+/** Builds the map key of a request key, unique among all callers and targets. */
 export const keyText = ({ caller, requestKey, model, service }: KeyOfRequest): string => `${service}\n${model}\n${caller}\n${requestKey}`
 
-/** Fields that every event about an attempt carries. */
+/** Event fields common to all events about an attempt. */
 export const attemptFields = (attempt: Pick<Attempt, 'id' | 'request'>): EventFields => ({
   attemptId: attempt.id,
   caller: attempt.request.caller,
@@ -49,7 +49,7 @@
   repeatable: attempt.request.repeatable
 })
 
-/** Memory that a kept frame takes, roughly. */
+/** Approximate memory of a stored frame. */
 export const sizeOf = (frame: Frame): number => {
   let sizeBytes = FRAME_OVERHEAD_BYTES
   if (frame.type === 'final') return sizeBytes + (frame.plain?.body.length ?? 0)
@@ -57,12 +57,12 @@
   return sizeBytes
 }
 
-/** True when nothing more will come of an attempt. */
-export const isOver = (entry: Pick<Entry, 'phase'>): boolean => entry.phase === 'finished' || entry.phase === 'refused'
+/** True when the attempt is finished or refused. */
+export const hasEnded = (entry: Pick<Entry, 'phase'>): boolean => entry.phase === 'finished' || entry.phase === 'refused'
 
-/** Number of the frame that comes next. */
+/** Number of the next frame. */
 export const nextFrame = (entry: Pick<Entry, 'firstFrame' | 'frames'>): number => entry.firstFrame + entry.frames.length
 
-/** The listeners but for one. */
+/** All listeners except the given one. */
 export const withoutListener = (entry: Pick<Entry, 'listeners'>, asId: AttemptId, subscriber: Subscriber): readonly Listener[] =>
   entry.listeners.filter(listener => listener.asId !== asId || listener.subscriber !== subscriber)
--- a/packages/agent/src/authority/authority.test.ts
+++ b/packages/agent/src/authority/authority.test.ts
@@ -3,23 +3,23 @@
 import { expect } from 'chai'
 
 import { MODEL, startAgentForTest } from '../testing/startAgentForTest.js'
-import { OUTAGE_PROOF_MS } from './constants.js'
+import { OUTAGE_CONFIRM_MS } from './constants.js'
 import { judgeAuthority } from './judgeAuthority.js'
 
-const view = { nowMs: 100_000, confirmedAtMs: 99_000, awakeSinceMs: 0, listed: 'present' } as const
+const view = { nowMs: 100_000, confirmedAtMs: 99_000, runningSinceMs: 0, listed: 'present' } as const
 
 describe('authority', () => {
-  it('is judged by the last confirmed read, pauses and the list', () => {
+  it('depends on the last confirmed read, pauses and the instance list', () => {
     expect(judgeAuthority(view)).to.equal('fresh')
     const stale = { ...view, confirmedAtMs: view.nowMs - AUTHORITY_MS }
     expect(judgeAuthority(stale)).to.equal('outage')
     expect(judgeAuthority({ ...stale, listed: 'unknown' })).to.equal('outage')
     expect(judgeAuthority({ ...stale, listed: 'missing' })).to.equal('none')
-    expect(judgeAuthority({ ...stale, awakeSinceMs: view.nowMs - OUTAGE_PROOF_MS + 1 })).to.equal('none')
+    expect(judgeAuthority({ ...stale, runningSinceMs: view.nowMs - OUTAGE_CONFIRM_MS + 1 })).to.equal('none')
   })
 
-  // The log is down for long while callers want a cold model. Nobody else can have been granted
-  // the right, so refusing to load would only lose callers.
+  // The log is unreachable for a long time while callers request a cold model. No other agent can have been granted
+  // the right in that time, so the holder may load.
   it('lets a holder load while the log is down', async () => {
     const under = await startAgentForTest()
     under.grant({ kind: 'replica', target: MODEL, slotIndex: 0 })
@@ -31,8 +31,8 @@
     expect(router.finalOf('a')?.tokenCount).to.equal(3)
   })
 
-  // The process is stopped for a minute and goes on as if nothing had been. Its right may have
-  // gone to another meanwhile, whose replica would be one too many.
+  // The process is stopped for a minute and then continues. Its right may have been granted to another agent
+  // meanwhile, and a load here would exceed the number of replicas.
   it('does not load after a pause before it has read the log again', async () => {
     const under = await startAgentForTest()
     under.grant({ kind: 'replica', target: MODEL, slotIndex: 0 })
@@ -51,7 +51,7 @@
     expect(router.finalOf('a')?.tokenCount).to.equal(3)
   })
 
-  it('stops loading when the list names it no more and the log is away', async () => {
+  it('stops loading when the list no longer names it and the log is unreachable', async () => {
     const under = await startAgentForTest()
     under.grant({ kind: 'replica', target: MODEL, slotIndex: 0 })
     under.log.isUp = false
--- a/packages/agent/src/authority/createAuthority.ts
+++ b/packages/agent/src/authority/createAuthority.ts
@@ -12,7 +12,7 @@
   readonly listed: () => AuthorityView['listed']
 }
 
-/** The agent's standing; asked before each act on a right. */
+/** Whether the agent may act on its rights; checked before each such action. */
 export interface AuthorityWatch {
   readonly current: () => Authority
   readonly mayLoad: () => boolean
@@ -20,29 +20,29 @@
   readonly stop: () => void
 }
 
-/** Watches for pauses of the process and judges its authority on demand. */
+/** Detects pauses of the process and evaluates its authority on demand. */
 export const createAuthority = ({ timers, events, confirmedAtMs, listed }: Options): AuthorityWatch => {
   let lastTickMs = timers.nowMs()
-  let awakeSinceMs = lastTickMs
-  let told: Authority = 'none'
+  let runningSinceMs = lastTickMs
+  let lastReported: Authority = 'none'
 
-  // A pause can end in the middle of a turn, before the tick runs: the gap is looked at on each question too.
-  const notice = (nowMs: number): void => {
+  // A pause can end in the middle of a turn, before the tick runs, so the gap is also checked on each evaluation.
+  const detectPause = (nowMs: number): void => {
     const gapMs = nowMs - lastTickMs
     lastTickMs = nowMs
     if (gapMs <= PAUSE_MS) return
-    awakeSinceMs = nowMs
+    runningSinceMs = nowMs
     events.emit(AgentEvent.pauseNoticed, { durationMs: Math.round(gapMs) })
   }
 
   const current = (): Authority => {
     const nowMs = timers.nowMs()
-    notice(nowMs)
-    const authority = judgeAuthority({ nowMs, confirmedAtMs: confirmedAtMs(), awakeSinceMs, listed: listed() })
-    if (authority !== told) {
+    detectPause(nowMs)
+    const authority = judgeAuthority({ nowMs, confirmedAtMs: confirmedAtMs(), runningSinceMs, listed: listed() })
+    if (authority !== lastReported) {
       const kind = authority === 'fresh' ? AgentEvent.authorityRegained : AgentEvent.authorityLost
       events.emit(kind, { reason: authority })
-      told = authority
+      lastReported = authority
     }
     return authority
   }
--- a/packages/agent/src/engine/constants.ts
+++ b/packages/agent/src/engine/constants.ts
@@ -2,13 +2,13 @@
  * A generation stream without bytes for this long is resumed over a new connection. Grounds: the
  * target is 66 ms between tokens, so this is thirty missed tokens, and a resume costs one call.
  */
-export const STREAM_SILENCE_MS = 2_000
+export const STREAM_IDLE_MS = 2_000
 
 /** Pause before a broken stream is tried again. */
 export const STREAM_RETRY_MS = 200
 
 /** A repeatable run whose engine cannot be reached for this long is handed back. Grounds: above one silence and one probe. */
-export const ENGINE_GONE_MS = 5_000
+export const MAX_UNREACHABLE_MS = 5_000
 
 /** Deadline of an inventory, which the engine answers from memory. */
 export const INVENTORY_TIMEOUT_MS = 1_500
--- a/packages/agent/src/engine/createEngineClient.ts
+++ b/packages/agent/src/engine/createEngineClient.ts
@@ -47,7 +47,7 @@
     .exhaustive()
 }
 
-const clientOf = (address: string, agent: Agent): Client<typeof Engine> =>
+const makeClient = (address: string, agent: Agent): Client<typeof Engine> =>
   createClient(Engine, createConnectTransport({ baseUrl: `http://${address}`, httpVersion: '1.1', useBinaryFormat: true, nodeOptions: { agent } }))
 
 /**
@@ -55,19 +55,19 @@
  * a connection each, because a pooled one may be the very connection that has gone silent.
  */
 export const createEngineClient = (address: string): EngineClient => {
-  const pooled = clientOf(address, new Agent({ keepAlive: true, timeout: IDLE_CONNECTION_MS }))
-  const single = clientOf(address, new Agent({ keepAlive: false }))
+  const pooled = makeClient(address, new Agent({ keepAlive: true, timeout: IDLE_CONNECTION_MS }))
+  const unpooled = makeClient(address, new Agent({ keepAlive: false }))
   return {
     address,
-    order: (order, signal) => EitherAsync(async () => await sendOrder(single, order, signal))
+    order: (order, signal) => EitherAsync(async () => await sendOrder(unpooled, order, signal))
       .map(result => ({ tookMs: result.tookMs }))
       .mapLeft(engineFault(`engine.${order.kind}`, address)),
-    inventory: () => EitherAsync(async () => await single.inventory({}, { timeoutMs: INVENTORY_TIMEOUT_MS }))
+    inventory: () => EitherAsync(async () => await unpooled.inventory({}, { timeoutMs: INVENTORY_TIMEOUT_MS }))
       .map(readInventory)
       .mapLeft(engineFault('engine.inventory', address)),
     generate: (args, signal) => pooled.generate({ ...args, doneTokens: [...args.doneTokens] }, { signal }),
-    resume: (streamId, fromTokenIndex, signal) => single.resume({ streamId, fromTokenIndex }, { signal }),
-    cancel: streamId => EitherAsync(async () => await single.cancel({ streamId }, { timeoutMs: CANCEL_TIMEOUT_MS }))
+    resume: (streamId, fromTokenIndex, signal) => unpooled.resume({ streamId, fromTokenIndex }, { signal }),
+    cancel: streamId => EitherAsync(async () => await unpooled.cancel({ streamId }, { timeoutMs: CANCEL_TIMEOUT_MS }))
       .map(answer => answer.wasRunning)
       .mapLeft(engineFault('engine.cancel', address))
   }
--- a/packages/agent/src/engine/createEngineWatch.ts
+++ b/packages/agent/src/engine/createEngineWatch.ts
@@ -36,12 +36,12 @@
 export const createEngineWatch = ({ engine, timers, events, onInventory, onDeath, onChange }: Options): EngineWatch => {
   let last: Inventory | undefined
   let isUp = false
-  let isAsking = false
-  const dead = new Set<string>()
+  let isRefreshing = false
+  const deadIncarnations = new Set<string>()
 
   const reportDeath = (incarnation: string): void => {
-    if (incarnation === '' || dead.has(incarnation)) return
-    dead.add(incarnation)
+    if (incarnation === '' || deadIncarnations.has(incarnation)) return
+    deadIncarnations.add(incarnation)
     if (last?.incarnation === incarnation) isUp = false
     events.emit(AgentEvent.engineDied, { peer: engine.address, detail: incarnation })
     onDeath(incarnation)
@@ -55,7 +55,7 @@
     onChange()
   }
 
-  const take = (inventory: Inventory, askedAtMs: number): void => {
+  const accept = (inventory: Inventory, askedAtMs: number): void => {
     const isNew = last?.incarnation !== inventory.incarnation
     if (last && isNew) reportDeath(last.incarnation)
     last = inventory
@@ -67,12 +67,12 @@
   }
 
   const refresh = async (): Promise<void> => {
-    if (isAsking) return
-    isAsking = true
+    if (isRefreshing) return
+    isRefreshing = true
     const askedAtMs = timers.nowMs()
     const answer = await engine.inventory().run()
-    isAsking = false
-    answer.caseOf({ Left: reportFault, Right: inventory => take(inventory, askedAtMs) })
+    isRefreshing = false
+    answer.caseOf({ Left: reportFault, Right: inventory => accept(inventory, askedAtMs) })
   }
 
   const stop = timers.every(INVENTORY_MS, () => runInBackground(events, 'engine.inventory', refresh()))
--- a/packages/agent/src/engine/engine.test.ts
+++ b/packages/agent/src/engine/engine.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai'
 
 import { MODEL, startAgentForTest } from '../testing/startAgentForTest.js'
-import { answeredCode, engineFault, isRefused, neverSent } from './engineFaults.js'
+import { answeredCode, engineFault, isConnectFailure, neverSent } from './engineFaults.js'
 
 import type { AgentUnderTest, FakeRouter } from '../testing/startAgentForTest.js'
 
@@ -27,7 +27,7 @@
     expect([reset, refusal, cut].map(answeredCode)).to.deep.equal([undefined, undefined, undefined])
     expect(answeredCode(new ConnectError('old fence', Code.FailedPrecondition))).to.equal(Code.FailedPrecondition)
     expect([reset, refusal, cut].map(neverSent)).to.deep.equal([false, true, false])
-    expect([reset, refusal, cut].map(engineFault('s', 'p')).map(isRefused)).to.deep.equal([false, true, false])
+    expect([reset, refusal, cut].map(engineFault('s', 'p')).map(isConnectFailure)).to.deep.equal([false, true, false])
     expect(engineFault('s', 'p')(cut).kind).to.equal('unavailable')
   })
 
--- a/packages/agent/src/engine/engineFaults.ts
+++ b/packages/agent/src/engine/engineFaults.ts
@@ -7,7 +7,7 @@
 const CONNECT_CODES: readonly string[] = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'ENOTFOUND']
 
 /** The library's words for a stream that was cut off, which it reports under the code of a bad argument. */
-const CUT_OFF = 'protocol error'
+const CUT_STREAM_PREFIX = 'protocol error'
 
 const MAX_CAUSES = 5
 
@@ -26,7 +26,7 @@
 export const neverSent = (thrown: unknown): boolean => CONNECT_CODES.includes(systemCode(thrown) ?? '')
 
 /** The same for a fault, whose message is that of the system's error. */
-export const isRefused = (fault: Fault): boolean =>
+export const isConnectFailure = (fault: Fault): boolean =>
   fault.kind === FaultKind.Unavailable && CONNECT_CODES.some(code => fault.message.includes(code))
 
 /**
@@ -36,7 +36,7 @@
  */
 export const answeredCode = (thrown: unknown): Code | undefined => {
   if (!(thrown instanceof ConnectError) || systemCode(thrown) !== undefined) return undefined
-  if (thrown.rawMessage.startsWith(CUT_OFF)) return undefined
+  if (thrown.rawMessage.startsWith(CUT_STREAM_PREFIX)) return undefined
   const isLocal = thrown.code === Code.Canceled || thrown.code === Code.DeadlineExceeded
   return isLocal ? undefined : thrown.code
 }
--- a/packages/agent/src/engine/runStream.ts
+++ b/packages/agent/src/engine/runStream.ts
@@ -1,8 +1,8 @@
 import { Code } from '@connectrpc/connect'
 import { FaultKind, makeFault, sleep } from '@figmount/base'
 
-import { STREAM_RETRY_MS, STREAM_SILENCE_MS } from './constants.js'
-import { answeredCode, engineFault, isRefused, neverSent } from './engineFaults.js'
+import { STREAM_RETRY_MS, STREAM_IDLE_MS } from './constants.js'
+import { answeredCode, engineFault, isConnectFailure, neverSent } from './engineFaults.js'
 
 import type { Fault, TimerService } from '@figmount/base'
 import type { FinishReason } from '@figmount/schema'
@@ -26,7 +26,7 @@
   /** The engine's incarnation that holds the model. */
   readonly incarnation: string
   /** Time for which the engine may be out of reach before the run is given up. */
-  readonly goneMs: number
+  readonly maxUnreachableMs: number
   readonly signal: AbortSignal
   /** Receives new tokens, in order, each index once. */
   readonly onTokens: (firstTokenIndex: number, tokens: readonly string[]) => void
@@ -38,18 +38,18 @@
   | { readonly kind: 'broken', readonly thrown: unknown, readonly fault: Fault }
 
 /** Answers to `generate` after which nothing of the request runs. */
-const REFUSALS: ReadonlySet<Code | undefined> = new Set([
+const REJECTION_CODES: ReadonlySet<Code | undefined> = new Set([
   Code.InvalidArgument, Code.NotFound, Code.FailedPrecondition, Code.ResourceExhausted, Code.OutOfRange, Code.Unimplemented,
   Code.PermissionDenied, Code.Unauthenticated
 ])
 
 /** Answers that say nothing about the stream, after which it is asked for again. */
-const PASSING: ReadonlySet<Code | undefined> = new Set([undefined, Code.Unavailable, Code.Unknown, Code.Internal, Code.AlreadyExists])
+const TRANSIENT_CODES: ReadonlySet<Code | undefined> = new Set([undefined, Code.Unavailable, Code.Unknown, Code.Internal, Code.AlreadyExists])
 
 /** Aborts `controller` when nothing was heard for STREAM_SILENCE_MS. */
-const watchSilence = (timers: TimerService, lastHeardMs: () => number, controller: AbortController): (() => void) =>
-  timers.every(STREAM_SILENCE_MS / 4, () => {
-    if (timers.nowMs() - lastHeardMs() >= STREAM_SILENCE_MS) controller.abort()
+const abortWhenSilent = (timers: TimerService, lastReceivedMs: () => number, controller: AbortController): (() => void) =>
+  timers.every(STREAM_IDLE_MS / 4, () => {
+    if (timers.nowMs() - lastReceivedMs() >= STREAM_IDLE_MS) controller.abort()
   })
 
 /**
@@ -60,14 +60,14 @@
  * id from the next token index; the index decides, so a repeated token is dropped and a gap is never passed on.
  * A second `generate` is only sent to the same incarnation, which refuses an id that it knows.
  */
-export const runStream = async ({ engine, timers, args, incarnation, goneMs, signal, onTokens, onResume }: Options): Promise<StreamEnd> => {
+export const runStream = async ({ engine, timers, args, incarnation, maxUnreachableMs, signal, onTokens, onResume }: Options): Promise<StreamEnd> => {
   let nextIndex = args.doneTokens.length
-  let isKnown = false
+  let hasReceivedChunk = false
   let failingSinceMs: number | undefined
   let failureCount = 0
 
   const take = (chunk: Chunk): Fault | undefined => {
-    isKnown = true
+    hasReceivedChunk = true
     failingSinceMs = undefined
     failureCount = 0
     const skip = nextIndex - chunk.firstTokenIndex
@@ -84,11 +84,11 @@
     const controller = new AbortController()
     const forward = (): void => controller.abort()
     signal.addEventListener('abort', forward, { once: true })
-    let lastHeardMs = timers.nowMs()
-    const stopWatching = watchSilence(timers, () => lastHeardMs, controller)
+    let lastReceivedMs = timers.nowMs()
+    const stopWatching = abortWhenSilent(timers, () => lastReceivedMs, controller)
     try {
       for await (const chunk of open(controller.signal)) {
-        lastHeardMs = timers.nowMs()
+        lastReceivedMs = timers.nowMs()
         const gap = take(chunk)
         if (gap) return onEnd({ kind: 'broken', thrown: undefined, fault: gap })
         if (chunk.last) onEnd({ kind: 'last', finishReason: chunk.finishReason })
@@ -110,40 +110,40 @@
   const probe = async (): Promise<'same' | 'died' | 'unreachable'> => {
     const answer = await engine.inventory().run()
     return answer.caseOf<'same' | 'died' | 'unreachable'>({
-      Left: fault => isRefused(fault) ? 'died' : 'unreachable',
+      Left: fault => isConnectFailure(fault) ? 'died' : 'unreachable',
       Right: inventory => inventory.incarnation === incarnation ? 'same' : 'died'
     })
   }
 
-  let isFirst = true
-  let resumes = false
+  let isFirstCall = true
+  let shouldResume = false
   while (true) {
     if (signal.aborted) return { kind: 'cancelled' }
-    const end = await read(resumes
+    const end = await read(shouldResume
       ? own => engine.resume(args.streamId, nextIndex, own)
       : own => engine.generate(args, own))
     if (end.kind === 'last') return { kind: 'finished', tokenCount: nextIndex, finishReason: end.finishReason }
     if (signal.aborted) return { kind: 'cancelled' }
     const { fault } = end
     const code = answeredCode(end.thrown)
-    if (isFirst && neverSent(end.thrown)) return { kind: 'unreached', fault }
-    if (isFirst && !isKnown && REFUSALS.has(code)) return { kind: 'rejected', fault }
-    isFirst = false
-    const standing = await probe()
-    if (standing === 'died') return { kind: 'interrupted', died: true, fault }
-    if (standing === 'unreachable') {
+    if (isFirstCall && neverSent(end.thrown)) return { kind: 'unreached', fault }
+    if (isFirstCall && !hasReceivedChunk && REJECTION_CODES.has(code)) return { kind: 'rejected', fault }
+    isFirstCall = false
+    const engineStatus = await probe()
+    if (engineStatus === 'died') return { kind: 'interrupted', died: true, fault }
+    if (engineStatus === 'unreachable') {
       failingSinceMs ??= timers.nowMs()
-      if (timers.nowMs() - failingSinceMs > goneMs) return { kind: 'interrupted', died: false, fault }
+      if (timers.nowMs() - failingSinceMs > maxUnreachableMs) return { kind: 'interrupted', died: false, fault }
     } else {
       // The same incarnation that does not know the stream never got the first call, or has forgotten the stream.
-      const isLost: boolean = resumes && code === Code.NotFound && !isKnown
-      if (!isLost && !PASSING.has(code)) return { kind: 'interrupted', died: false, fault }
-      resumes = !isLost
+      const isLost: boolean = shouldResume && code === Code.NotFound && !hasReceivedChunk
+      if (!isLost && !TRANSIENT_CODES.has(code)) return { kind: 'interrupted', died: false, fault }
+      shouldResume = !isLost
     }
-    if (resumes) onResume(fault)
+    if (shouldResume) onResume(fault)
     // The first break is mended at once, so that callers do not notice; a second one in a row is not hurried.
-    await sleep(timers, failureCount === 0 && resumes ? 0 : STREAM_RETRY_MS, signal)
+    await sleep(timers, failureCount === 0 && shouldResume ? 0 : STREAM_RETRY_MS, signal)
     failureCount += 1
-    if (standing === 'unreachable') resumes = true
+    if (engineStatus === 'unreachable') shouldResume = true
   }
 }
--- a/packages/agent/src/leaving/createDrain.ts
+++ b/packages/agent/src/leaving/createDrain.ts
@@ -17,7 +17,7 @@
   /** True when the last frames have reached the routers. */
   readonly isDelivered: () => boolean
   /** True when no right is held and no order is open. */
-  readonly hasGivenUp: () => boolean
+  readonly hasReleasedAll: () => boolean
   readonly onChange: (reason: DrainReason | undefined) => void
   /** Ends what is left at the deadline. */
   readonly cancelAll: () => void
@@ -27,7 +27,7 @@
 export interface Drain {
   readonly reason: () => DrainReason | undefined
   /** True when the rights are to be given back: the instance goes away for good and nothing is left to do. */
-  readonly isGivingUp: () => boolean
+  readonly isReleasingAll: () => boolean
   readonly update: () => void
   /** Begins the stop and resolves when it is done, at the latest at the deadline. */
   readonly finish: () => Promise<void>
@@ -36,16 +36,16 @@
 const POLL_MS = 20
 
 /** Time for the last frames to be acknowledged. Grounds: a router that is silent for longer is given up. */
-const DELIVERY_MS = 3_000
+const DELIVERY_TIMEOUT_MS = 3_000
 
 /** Time for unloads and the release of rights at the end of a stop; what is left is voided later. */
-const GIVE_UP_MS = 5_000
+const RELEASE_TIMEOUT_MS = 5_000
 
 /** Makes the drain of one agent. */
 export const createDrain = (options: Options): Drain => {
   const { context: { records, events, timers, settings, instance } } = options
   let isStopping = false
-  let told: DrainReason | undefined
+  let lastReason: DrainReason | undefined
 
   const reason = (): DrainReason | undefined => {
     if (isStopping) return 'stop'
@@ -58,8 +58,8 @@
 
   const update = (): void => {
     const current = reason()
-    if (current === told) return
-    told = current
+    if (current === lastReason) return
+    lastReason = current
     if (current) events.emit(AgentEvent.drainStarted, { reason: current })
     else events.emit(AgentEvent.drainEnded)
     options.onChange(current)
@@ -76,7 +76,7 @@
 
   return {
     reason,
-    isGivingUp: () => isLeavingForGood() && options.isIdle(),
+    isReleasingAll: () => isLeavingForGood() && options.isIdle(),
     update,
     finish: async () => {
       isStopping = true
@@ -89,11 +89,11 @@
       } else {
         events.emit(AgentEvent.drainDeadline)
         options.cancelAll()
-        await waitFor(options.isIdle, DELIVERY_MS)
+        await waitFor(options.isIdle, DELIVERY_TIMEOUT_MS)
       }
-      await waitFor(options.isDelivered, DELIVERY_MS)
+      await waitFor(options.isDelivered, DELIVERY_TIMEOUT_MS)
       await refreshed
-      if (isLeavingForGood()) await waitFor(options.hasGivenUp, GIVE_UP_MS)
+      if (isLeavingForGood()) await waitFor(options.hasReleasedAll, RELEASE_TIMEOUT_MS)
     }
   }
 }
--- a/packages/agent/src/leaving/leaving.test.ts
+++ b/packages/agent/src/leaving/leaving.test.ts
@@ -32,7 +32,7 @@
     await under.advance(50)
     const stopping = under.agent.stop().then(() => 'stopped')
     await under.advance(50)
-    expect(router.heard.some(({ type }) => type === 'leaving')).to.equal(true)
+    expect(router.received.some(({ type }) => type === 'leaving')).to.equal(true)
     router.start('cold', { model: COLD })
     router.start('new', { prompt: 'new' })
     await under.advance(50)
@@ -81,7 +81,7 @@
     await under.advance(50)
     under.listing = { listed: 'present', leaving: true }
     await under.advance(5_200)
-    expect(router.heard.some(({ type }) => type === 'leaving')).to.equal(true)
+    expect(router.received.some(({ type }) => type === 'leaving')).to.equal(true)
     expect(router.finalOf('a')?.tokenCount).to.equal(50)
     expect(under.engine.residents()).to.deep.equal([])
     expect(statusesOf(under)).to.deep.equal(['free', 'free', 'free'])
--- a/packages/agent/src/links/createLinkBook.ts
+++ b/packages/agent/src/links/createLinkRegistry.ts
@@ -11,7 +11,7 @@
 }
 
 /** The open connections from routers. */
-export interface LinkBook {
+export interface LinkRegistry {
   readonly add: (link: RouterLink) => void
   readonly remove: (link: RouterLink) => void
   readonly sendAll: (message: AgentToRouterMessage) => void
@@ -25,12 +25,12 @@
 }
 
 /** Makes the book of open links. */
-export const createLinkBook = (timers: TimerService, ownOffset: () => LogOffset): LinkBook => {
+export const createLinkRegistry = (timers: TimerService, ownOffset: () => LogOffset): LinkRegistry => {
   const links = new Set<RouterLink>()
   let lag: Lag | undefined
   let highest = ownOffset()
 
-  const ask = (peer: string, fromOffset: LogOffset): void => {
+  const requestRecords = (peer: string, fromOffset: LogOffset): void => {
     for (const link of links) {
       if (link.peer !== peer) continue
       link.send({ type: 'records.ask', fromOffset })
@@ -58,7 +58,7 @@
       lag ??= { sinceMs: nowMs, askedAtMs: nowMs }
       if (nowMs - lag.sinceMs < BEHIND_MS || nowMs - lag.askedAtMs < BEHIND_MS) return
       lag = { ...lag, askedAtMs: nowMs }
-      ask(peer, own)
+      requestRecords(peer, own)
     }
   }
 }
--- a/packages/agent/src/links/createStartHold.ts
+++ b/packages/agent/src/links/createStartHold.ts
@@ -28,7 +28,7 @@
   /** Takes a held start back; nothing of it has run or will. */
   readonly drop: (attemptId: AttemptId) => void
   /** Looks at the held starts again after the agreed state has grown. */
-  readonly review: () => void
+  readonly recheck: () => void
 }
 
 /**
@@ -52,8 +52,8 @@
     start({ ...rest, attemptId, request: { ...request, remainingMs } }, subscriber)
   }
 
-  const releaseLate = (attemptId: AttemptId, late: HeldStart): void => {
-    if (held.get(attemptId) === late) release(late)
+  const releaseIfHeld = (attemptId: AttemptId, entry: HeldStart): void => {
+    if (held.get(attemptId) === entry) release(entry)
   }
 
   return {
@@ -64,10 +64,10 @@
       if (held.size === 0) subscriber.send({ type: 'records.ask', fromOffset: records.state().nextOffset })
       held.set(attemptId, entry)
       events.emit(AgentEvent.startHeld, { attemptId, caller: request.caller, requestKey: request.requestKey, model: request.model, offset: highestOffset() })
-      timers.after(HOLD_MS, () => releaseLate(attemptId, entry))
+      timers.after(HOLD_MS, () => releaseIfHeld(attemptId, entry))
     },
     drop: attemptId => { held.delete(attemptId) },
-    review: () => {
+    recheck: () => {
       for (const entry of [...held.values()]) {
         if (!isBehind() || !refusalByState(entry.start)) release(entry)
       }
--- a/packages/agent/src/links/runRouterLink.ts
+++ b/packages/agent/src/links/runRouterLink.ts
@@ -9,11 +9,11 @@
 import type { HandleStart } from '../agent/createAdmission.js'
 import type { AgentContext } from '../agent/types.js'
 import type { AttemptStore } from '../attempts/types.js'
-import type { FastSuspicion } from '../suspects/createSuspectBook.js'
+import type { PeerSuspicion } from '../suspects/createSuspectTracker.js'
 import type { KeyName } from '../once/types.js'
-import type { RouterLink } from './createLinkBook.js'
+import type { RouterLink } from './createLinkRegistry.js'
 
-type ThinReport = ReturnType<typeof createDeltaReporter>
+type ToDelta = ReturnType<typeof createDeltaReporter>
 
 type PermitAsk = Extract<RouterToAgentMessage, { type: 'permit.ask' }>
 
@@ -27,23 +27,23 @@
   readonly dropHeld: (id: AttemptId) => void
   readonly askPermit: (ask: PermitAsk) => PermitReply
   readonly withdrawPermit: (key: KeyName, attemptId: AttemptId) => void
-  readonly takeSuspicion: (suspicion: FastSuspicion) => void
+  readonly takeSuspicion: (suspicion: PeerSuspicion) => void
   readonly report: () => AgentReport
   readonly onOpen: (link: RouterLink) => void
   readonly onClose: (link: RouterLink) => void
 }
 
-const handle = (handlers: LinkHandlers, link: RouterLink, thinReport: ThinReport, message: RouterToAgentMessage): void => {
+const handle = (handlers: LinkHandlers, link: RouterLink, toDelta: ToDelta, message: RouterToAgentMessage): void => {
   const { context, attempts } = handlers
   const { records, instance, incarnation, settings } = context
   return match(message)
     .with({ type: 'hello' }, () => {
       const dataCentre = settings.process.data_centre as DataCentre
       const report = handlers.report()
-      link.send({ type: 'welcome', instance, incarnation, dataCentre, report: thinReport(report) ?? report })
+      link.send({ type: 'welcome', instance, incarnation, dataCentre, report: toDelta(report) ?? report })
     })
     .with({ type: 'heartbeat' }, ({ sentAtMs }) => {
-      const report = thinReport(handlers.report())
+      const report = toDelta(handlers.report())
       link.send({ type: 'heartbeat.ack', sentAtMs, ...(report ? { report } : {}) })
     })
     .with({ type: 'start' }, start => handlers.start(start, link))
@@ -72,9 +72,9 @@
 }
 
 /** A message of a newer build, or one without a field, is told and passed over; the link's other attempts go on. */
-const handleSafely = (handlers: LinkHandlers, link: RouterLink, thinReport: ThinReport, message: RouterToAgentMessage): void => {
+const handleSafely = (handlers: LinkHandlers, link: RouterLink, toDelta: ToDelta, message: RouterToAgentMessage): void => {
   try {
-    handle(handlers, link, thinReport, message)
+    handle(handlers, link, toDelta, message)
   } catch (error) {
     handlers.context.events.emit(BaseEvent.badInput, { peer: link.peer, step: 'links.handle', reason: (error as Error).message.slice(0, MAX_REASON_LENGTH) })
   }
@@ -82,10 +82,10 @@
 
 /** The task of one router's connection: reads its messages until it ends. Attempts outlive it. */
 export const runRouterLink = (handlers: LinkHandlers) => async (link: RouterLink): Promise<void> => {
-  const thinReport = createDeltaReporter()
+  const toDelta = createDeltaReporter()
   handlers.onOpen(link)
   try {
-    for await (const message of link.received) handleSafely(handlers, link, thinReport, message)
+    for await (const message of link.received) handleSafely(handlers, link, toDelta, message)
   } finally {
     handlers.attempts.unsubscribeAll(link)
     handlers.onClose(link)
--- a/packages/agent/src/loading/constants.ts
+++ b/packages/agent/src/loading/constants.ts
@@ -27,4 +27,4 @@
 export const UNUSED_KEEP_MS = 10_000
 
 /** Length of a load that the pace of asking goes by before any was measured: short, so that the first is soon. */
-export const UNMEASURED_PACE_MS = 1_000
+export const UNMEASURED_LOAD_MS = 1_000
--- a/packages/agent/src/loading/createLoader.ts
+++ b/packages/agent/src/loading/createLoader.ts
@@ -1,11 +1,11 @@
 import { runInBackground } from '@figmount/base'
 import { AgentEvent } from '../events.js'
 import { emptyLedger, usedMb } from '../memory/ledger.js'
-import { STORE_SPACING_MS, UNMEASURED_PACE_MS } from './constants.js'
+import { STORE_SPACING_MS, UNMEASURED_LOAD_MS } from './constants.js'
 import { followOrder } from './followOrder.js'
 import { planOrders } from './planOrders.js'
-import { closeOrder, expectedLoadMs, findSlot, holdSlot, isOvercommitted, reconcile, touch } from './slots.js'
-import { easeStore, freshPace, holdBack } from './storePace.js'
+import { closeOrder, expectedLoadMs, findSlot, delayLoad, isOvercommitted, reconcile, recordUse } from './slots.js'
+import { afterStoreLoad, noBackoff, delayStoreLoads } from './storePace.js'
 
 import type { EventFields, EventLog, ModelId, TimerService } from '@figmount/base'
 import type { ChooseLoadBackoff } from '@figmount/decisions'
@@ -31,7 +31,7 @@
   readonly state: () => EngineState
   readonly plan: (inputs: PlanInputs) => void
   readonly takeInventory: (inventory: Inventory, askedAtMs: number) => void
-  readonly touch: (model: ModelId, adapter: string, wasIdle: boolean) => void
+  readonly recordUse: (model: ModelId, adapter: string, wasIdle: boolean) => void
   readonly openOrderCount: () => number
   readonly stop: () => void
 }
@@ -59,7 +59,7 @@
 
 /** Makes the loader of one engine. */
 export const createLoader = ({ engine, timers, events, kvCacheMb, backOffLoad, random, onChange }: Options): Loader => {
-  let state: EngineState = { slots: new Map(), ledger: emptyLedger(0, kvCacheMb), store: freshPace, typicalLoadMs: 0 }
+  let state: EngineState = { slots: new Map(), ledger: emptyLedger(0, kvCacheMb), store: noBackoff, typicalLoadMs: 0 }
   let lastInputs: PlanInputs | undefined
   const stopping = new AbortController()
   const followed = new Set<EngineOrder>()
@@ -79,13 +79,13 @@
     }
   }
 
-  const paceStore = (order: EngineOrder, slot: Slot, outcome: OrderOutcome): void => {
+  const backOffFromStore = (order: EngineOrder, slot: Slot, outcome: OrderOutcome): void => {
     if (order.kind !== 'load') return
     if (outcome.kind === 'done') {
-      if (slot.tier === 'remote') state = { ...state, store: easeStore(state.store) }
+      if (slot.tier === 'remote') state = { ...state, store: afterStoreLoad(state.store) }
       return
     }
-    if (!outcome.storeIsFull) return
+    if (!outcome.isStoreFull) return
     const demand = lastInputs?.demands.get(order.model)
     const nowMs = timers.nowMs()
     const view = {
@@ -94,12 +94,12 @@
       refusedCount: state.store.failureCount,
       waitedMs: demand ? nowMs - demand.askedAtMs : 0,
       // An assumption must not hold a load back for longer than the load may take.
-      loadMs: state.typicalLoadMs > 0 ? expectedLoadMs(state, slot) : UNMEASURED_PACE_MS
+      loadMs: state.typicalLoadMs > 0 ? expectedLoadMs(state, slot) : UNMEASURED_LOAD_MS
     }
     const waitMs = backOffLoad(view, random)
     // Guards against a load that nobody urgently waits for holding back those that many wait for: the
     // length of the pause is one model's; the agent as a whole only spaces out its asks.
-    state = holdSlot({ ...state, store: holdBack(state.store, STORE_SPACING_MS, nowMs) }, order.model, nowMs + waitMs)
+    state = delayLoad({ ...state, store: delayStoreLoads(state.store, STORE_SPACING_MS, nowMs) }, order.model, nowMs + waitMs)
     events.emit(AgentEvent.storeBackedOff, { model: order.model, count: view.waitingCount, waitMs: Math.round(waitMs) })
   }
 
@@ -107,24 +107,24 @@
     const slot = findSlot(state, order.model)
     const before = fieldsOf(order)
     state = closeOrder(state, order, outcome, timers.nowMs())
-    paceStore(order, slot, outcome)
+    backOffFromStore(order, slot, outcome)
     const fields = { ...before, memoryMb: usedMb(state.ledger), durationMs: Math.round(timers.nowMs() - slot.orderedAtMs) }
     if (outcome.kind === 'done') return events.emit(DONE[order.kind], fields)
     events.emit(FAILED[order.kind], { ...fields, reason: outcome.reason })
   }
 
-  const follow = async (order: EngineOrder, mustSend: boolean): Promise<void> => {
+  const follow = async (order: EngineOrder, shouldSend: boolean): Promise<void> => {
     followed.add(order)
-    const outcome = await followOrder({ engine, timers, events, order, mustSend, signal: stopping.signal })
+    const outcome = await followOrder({ engine, timers, events, order, shouldSend, signal: stopping.signal })
     followed.delete(order)
     if (!outcome) return
     close(order, outcome)
     onChange()
   }
 
-  const followOpen = (mustSend: boolean): void => {
+  const followOpen = (shouldSend: boolean): void => {
     for (const slot of state.slots.values()) {
-      if (slot.openOrder && !followed.has(slot.openOrder)) runInBackground(events, 'loading.follow', follow(slot.openOrder, mustSend))
+      if (slot.openOrder && !followed.has(slot.openOrder)) runInBackground(events, 'loading.follow', follow(slot.openOrder, shouldSend))
     }
   }
 
@@ -146,7 +146,7 @@
       if (before !== after) events.emit(AgentEvent.inventoryDiffers, { peer: engine.address, memoryMb: after, memoryCapacityMb: state.ledger.capacityMb })
       followOpen(false)
     },
-    touch: (model, adapter, wasIdle) => { state = touch(state, model, adapter, wasIdle, timers.nowMs()) },
+    recordUse: (model, adapter, wasIdle) => { state = recordUse(state, model, adapter, wasIdle, timers.nowMs()) },
     openOrderCount: () => followed.size,
     stop: () => stopping.abort()
   }
--- a/packages/agent/src/loading/followOrder.ts
+++ b/packages/agent/src/loading/followOrder.ts
@@ -1,6 +1,6 @@
 import { FaultKind, sleep } from '@figmount/base'
 
-import { isRefused } from '../engine/engineFaults.js'
+import { isConnectFailure } from '../engine/engineFaults.js'
 import { AgentEvent } from '../events.js'
 import { ORDER_POLL_MS } from './constants.js'
 import { judgeOrder } from './judgeOrder.js'
@@ -15,12 +15,12 @@
   readonly events: EventLog
   readonly order: EngineOrder
   /** False for an order that an earlier run of the agent sent. */
-  readonly mustSend: boolean
+  readonly shouldSend: boolean
   readonly signal: AbortSignal
 }
 
 /** Faults by which the engine itself says that it has refused the order. */
-const REFUSALS: readonly FaultKind[] = [
+const REFUSAL_KINDS: readonly FaultKind[] = [
   FaultKind.Invalid, FaultKind.NotFound, FaultKind.Conflict, FaultKind.Exhausted, FaultKind.Unauthenticated
 ]
 
@@ -31,29 +31,29 @@
   /** The engine itself has refused it. */
   | { readonly kind: 'refused', readonly fault: Fault }
   /** It broke; the order may have arrived. `isGone`: no process is left that can have got it. */
-  | { readonly kind: 'broken', readonly isGone: boolean }
+  | { readonly kind: 'broken', readonly isEngineGone: boolean }
 
 const sendOrder = async ({ engine, events, order, signal }: Options): Promise<CallState> => {
   const result = await engine.order(order, signal).run()
   return result.caseOf<CallState>({
     Right: ({ tookMs }) => ({ kind: 'done', tookMs }),
     Left: fault => {
-      if (REFUSALS.includes(fault.kind)) return { kind: 'refused', fault }
+      if (REFUSAL_KINDS.includes(fault.kind)) return { kind: 'refused', fault }
       if (!signal.aborted) {
         events.emit(AgentEvent.orderDoubtful, { model: order.model, fence: order.fence, step: fault.step, peer: fault.peer, reason: fault.message })
       }
-      return { kind: 'broken', isGone: isRefused(fault) }
+      return { kind: 'broken', isEngineGone: isConnectFailure(fault) }
     }
   })
 }
 
 const notDone = (call: CallState, inventory: Inventory): OrderOutcome => {
-  if (call.kind !== 'refused') return { kind: 'notDone', reason: 'no answer, and the engine shows no effect', storeIsFull: false, inventory }
-  return { kind: 'notDone', reason: call.fault.message, storeIsFull: call.fault.kind === FaultKind.Exhausted, inventory }
+  if (call.kind !== 'refused') return { kind: 'notDone', reason: 'no answer, and the engine shows no effect', isStoreFull: false, inventory }
+  return { kind: 'notDone', reason: call.fault.message, isStoreFull: call.fault.kind === FaultKind.Exhausted, inventory }
 }
 
 /** True when no effect in an inventory proves that there will be none. */
-const isSettled = (call: CallState): boolean => call.kind === 'refused' || (call.kind === 'broken' && call.isGone)
+const isFinal = (call: CallState): boolean => call.kind === 'refused' || (call.kind === 'broken' && call.isEngineGone)
 
 /**
  * Sends an order and finds out what became of it; resolves only with the truth, or undefined when `signal` aborts.
@@ -62,13 +62,13 @@
  * because the engine refuses an order that doubles one which took effect.
  */
 export const followOrder = async (options: Options): Promise<OrderOutcome | undefined> => {
-  const { engine, timers, order, mustSend, signal } = options
+  const { engine, timers, order, shouldSend, signal } = options
   const sentAtMs = timers.nowMs()
-  const ending = new AbortController()
-  const answered = new AbortController()
+  const callAbort = new AbortController()
+  const answerArrived = new AbortController()
   const abort = (): void => {
-    ending.abort()
-    answered.abort()
+    callAbort.abort()
+    answerArrived.abort()
   }
   signal.addEventListener('abort', abort, { once: true })
   let call: CallState = { kind: 'pending' }
@@ -76,34 +76,34 @@
 
   const onAnswer = (answer: CallState): void => {
     call = answer
-    answered.abort()
+    answerArrived.abort()
   }
-  if (mustSend) {
-    sendOrder({ ...options, signal: ending.signal }).then(onAnswer, () => onAnswer({ kind: 'broken', isGone: false }))
+  if (shouldSend) {
+    sendOrder({ ...options, signal: callAbort.signal }).then(onAnswer, () => onAnswer({ kind: 'broken', isEngineGone: false }))
   }
 
   try {
     while (!signal.aborted) {
-      await sleep(timers, ORDER_POLL_MS, state().kind === 'pending' ? answered.signal : signal)
+      await sleep(timers, ORDER_POLL_MS, state().kind === 'pending' ? answerArrived.signal : signal)
       const askedAtMs = timers.nowMs()
       const known = state()
       if (known.kind === 'done') return known
-      const asked = await engine.inventory().run()
+      const inventoryResult = await engine.inventory().run()
       const current = state()
       if (current.kind === 'done') return current
-      const inventory = asked.toMaybe().extract()
+      const inventory = inventoryResult.toMaybe().extract()
       if (!inventory) {
         // Nothing listens: the process that may have got the order has ended, and its call with it.
-        if (known.kind === 'broken' && asked.swap().map(isRefused).orDefault(false)) call = { kind: 'broken', isGone: true }
+        if (known.kind === 'broken' && inventoryResult.swap().map(isConnectFailure).orDefault(false)) call = { kind: 'broken', isEngineGone: true }
         continue
       }
-      const judgement = judgeOrder(order, isSettled(known) ? Number.NEGATIVE_INFINITY : sentAtMs, inventory, askedAtMs)
+      const judgement = judgeOrder(order, isFinal(known) ? Number.NEGATIVE_INFINITY : sentAtMs, inventory, askedAtMs)
       if (judgement === 'done') return { kind: 'done', tookMs: Math.round(timers.nowMs() - sentAtMs) }
       if (judgement === 'notDone') return notDone(current, inventory)
     }
     return undefined
   } finally {
     signal.removeEventListener('abort', abort)
-    ending.abort()
+    callAbort.abort()
   }
 }
--- a/packages/agent/src/loading/planOrders.ts
+++ b/packages/agent/src/loading/planOrders.ts
@@ -1,5 +1,5 @@
 import { viewResidents } from '../eviction/viewResidents.js'
-import { LEAST_STAY_MS } from '../keepalive/constants.js'
+import { MIN_KEEP_MS } from '../keepalive/constants.js'
 import { viewIdle } from '../keepalive/viewIdle.js'
 import { freeMb } from '../memory/ledger.js'
 import { UNUSED_KEEP_MS } from './constants.js'
@@ -33,11 +33,11 @@
   readonly state: EngineState
 }
 
-const unloadOf = (slot: Slot, right: HeldSlot | undefined): EngineOrder =>
+const makeUnload = (slot: Slot, right: HeldSlot | undefined): EngineOrder =>
   ({ kind: 'unload', model: slot.model, fence: Math.max(slot.fence, right?.fence ?? 0) })
 
 /** False for a slot above a bound that the configuration has lowered since its grant. */
-const isWithinBound = (right: HeldSlot, { spec }: ModelPlan): boolean => right.slotIndex < spec.maxReplicas
+const isWithinMaxReplicas = (right: HeldSlot, { spec }: ModelPlan): boolean => right.slotIndex < spec.maxReplicas
 
 const isPinned = (view: PlanView, model: ModelId): boolean => {
   const right = view.rights.get(model)
@@ -46,7 +46,7 @@
 }
 
 /** Share of the memory that models which are waited for would take if they could. */
-const pressureOf = (view: PlanView): number => {
+const memoryPressureOf = (view: PlanView): number => {
   let wantedMb = 0
   for (const [model, demand] of view.demands) {
     if (demand.waitingCount === 0 || findSlot(view.state, model).phase !== 'cold') continue
@@ -59,22 +59,22 @@
  * Guards against a load for nothing: callers that were refused while the model loaded have not come back yet,
  * and keep-alive, which counts from the last use, would unload it in the moment in which it gets ready.
  */
-const isNew = (slot: Slot, nowMs: number): boolean =>
+const isUnusedSinceLoad = (slot: Slot, nowMs: number): boolean =>
   slot.lastUsedMs <= slot.orderedAtMs && nowMs - slot.changedAtMs < UNUSED_KEEP_MS
 
 /** True when a resident model has to go for another reason than space. */
-const mustUnload = (view: PlanView, slot: Slot): boolean => {
+const shouldUnload = (view: PlanView, slot: Slot): boolean => {
   const demand = view.demands.get(slot.model)
   if ((demand?.runningCount ?? 0) > 0) return false
   const right = view.rights.get(slot.model)
   const plan = view.planOf(slot.model)
-  if (!right || right.revoked || !plan || !isWithinBound(right, plan)) return true
+  if (!right || right.revoked || !plan || !isWithinMaxReplicas(right, plan)) return true
   // One replica is one version: the old one is unloaded before the new one is loaded.
   const isWaitedFor = (demand?.waitingCount ?? 0) > 0
   if (slot.version !== (isWaitedFor && demand ? demand.version : plan.spec.currentVersion)) return true
   if (isWaitedFor || isPinned(view, slot.model)) return false
-  if (isNew(slot, view.nowMs) || idleForMs(slot, view.nowMs) < LEAST_STAY_MS) return false
-  return view.keepAlive(viewIdle(view.state, slot, plan, pressureOf(view), view.nowMs)) <= 0
+  if (isUnusedSinceLoad(slot, view.nowMs) || idleForMs(slot, view.nowMs) < MIN_KEEP_MS) return false
+  return view.keepAlive(viewIdle(view.state, slot, plan, memoryPressureOf(view), view.nowMs)) <= 0
 }
 
 /** Adapters that the configuration no longer has, or no longer for this slot. */
@@ -95,7 +95,7 @@
   const orders: EngineOrder[] = []
   for (const slot of view.state.slots.values()) {
     if (slot.phase !== 'ready' || slot.openOrder || slot.notBeforeMs > view.nowMs) continue
-    if (mustUnload(view, slot)) orders.push(unloadOf(slot, view.rights.get(slot.model)))
+    if (shouldUnload(view, slot)) orders.push(makeUnload(slot, view.rights.get(slot.model)))
     else orders.push(...adapterUnloads(view, slot))
   }
   return orders
@@ -110,7 +110,7 @@
     const plan = view.planOf(right.model)
     const waitingCount = demand?.waitingCount ?? 0
     const wanted = waitingCount > 0 || (isPinned(view, right.model) && !view.draining)
-    if (!wanted || !plan || right.revoked || !isWithinBound(right, plan) || slot.phase !== 'cold' || slot.openOrder) continue
+    if (!wanted || !plan || right.revoked || !isWithinMaxReplicas(right, plan) || slot.phase !== 'cold' || slot.openOrder) continue
     const heldBackMs = Math.max(slot.notBeforeMs, slot.tier === 'remote' ? view.state.store.notBeforeMs : 0)
     if (heldBackMs > view.nowMs) continue
     loads.push({
@@ -129,12 +129,12 @@
 const victimOrder = (view: PlanView, victim: ResidentView): EngineOrder => {
   const slot = findSlot(view.state, victim.model)
   const right = view.rights.get(victim.model)
-  if (victim.adapter === '') return unloadOf(slot, right)
+  if (victim.adapter === '') return makeUnload(slot, right)
   return { kind: 'unloadAdapter', model: victim.model, adapter: victim.adapter, fence: Math.max(slot.fence, right?.fence ?? 0) }
 }
 
 /** Memory that open unloads will free. */
-const leavingMb = (state: EngineState): number => {
+const unloadingMb = (state: EngineState): number => {
   let sumMb = 0
   for (const slot of state.slots.values()) {
     if (slot.phase === 'unloading') sumMb += slot.memoryMb
@@ -146,8 +146,8 @@
 }
 
 /** Orders that make room for `neededMb` more; undefined when that cannot be had now. */
-const makeRoom = (view: PlanView, state: EngineState, neededMb: number): readonly EngineOrder[] | undefined => {
-  const missingMb = neededMb - freeMb(state.ledger) - leavingMb(state)
+const planEvictions = (view: PlanView, state: EngineState, neededMb: number): readonly EngineOrder[] | undefined => {
+  const missingMb = neededMb - freeMb(state.ledger) - unloadingMb(state)
   if (missingMb <= 0) return []
   const residents = viewResidents({
     state, nowMs: view.nowMs, demandOf: model => view.demands.get(model), isPinned: model => isPinned(view, model)
@@ -158,7 +158,7 @@
   return victims?.filter(({ model, adapter }) => adapter === '' || !models.has(model)).map(victim => victimOrder(view, victim))
 }
 
-const loadOf = (view: PlanView, model: ModelId): EngineOrder | undefined => {
+const makeLoad = (view: PlanView, model: ModelId): EngineOrder | undefined => {
   const right = view.rights.get(model)
   const plan = view.planOf(model)
   if (!right || !plan) return undefined
@@ -213,14 +213,14 @@
   for (const order of planUnloads(view)) open(order)
 
   const wanted = [
-    ...waitingLoads(view).flatMap(load => loadOf(view, load.model) ?? []),
+    ...waitingLoads(view).flatMap(load => makeLoad(view, load.model) ?? []),
     ...adapterLoads(view)
   ]
   for (const order of wanted) {
     if (order.kind === 'load' && findSlot(state, order.model).tier === 'remote' && openStoreLoads(state) >= view.maxStoreLoads) continue
     if (open(order)) continue
     const neededMb = order.kind === 'load' || order.kind === 'loadAdapter' ? order.memoryMb : 0
-    const victims = makeRoom(view, state, neededMb)
+    const victims = planEvictions(view, state, neededMb)
     if (!victims) continue
     for (const victim of victims) open(victim)
     // What is freed belongs to this load: a smaller one behind it would take the room away again and again.
--- a/packages/agent/src/loading/slots.ts
+++ b/packages/agent/src/loading/slots.ts
@@ -71,7 +71,7 @@
   return { ...slot, failureCount, notBeforeMs: nowMs + pauseMs, lastFailure: reason }
 }
 
-const asCold = (slot: Slot): Slot => ({ ...slot, phase: 'cold', version: '', memoryMb: 0, adapters: new Map() })
+const toCold = (slot: Slot): Slot => ({ ...slot, phase: 'cold', version: '', memoryMb: 0, adapters: new Map() })
 
 const smooth = (known: number, measured: number): number => known === 0 ? measured : known + SMOOTHING * (measured - known)
 
@@ -87,14 +87,14 @@
         const ready: Slot = { ...slot, phase: 'ready', loadMs: smooth(slot.loadMs, tookMs), failureCount: 0, notBeforeMs: 0, lastFailure: '' }
         return putSlot({ ...state, typicalLoadMs }, ready)
       }
-      const cold = asCold(slot)
+      const cold = toCold(slot)
       // A full weight store says nothing against this model: the store's own pace holds it back.
-      const failed = outcome.storeIsFull ? { ...cold, lastFailure: outcome.reason } : afterFailure(cold, outcome.reason, nowMs)
+      const failed = outcome.isStoreFull ? { ...cold, lastFailure: outcome.reason } : afterFailure(cold, outcome.reason, nowMs)
       return putSlot(state, failed, release(state.ledger, order.model, ''))
     }
     case 'unload': {
       if (outcome.kind === 'notDone') return putSlot(state, afterFailure({ ...slot, phase: 'ready' }, outcome.reason, nowMs))
-      return putSlot(state, { ...asCold(slot), tier: 'memory' }, release(state.ledger, order.model, ''))
+      return putSlot(state, { ...toCold(slot), tier: 'memory' }, release(state.ledger, order.model, ''))
     }
     case 'loadAdapter': {
       const adapter = slot.adapters.get(order.adapter)
@@ -162,7 +162,7 @@
     const tier = tiers.get(model) ?? (resident ? 'memory' : 'remote')
     next = resident
       ? putSlot(next, followLoad({ ...adoptResident(slot, resident, nowMs), tier }, nowMs), adoptMemory(next.ledger, resident))
-      : putSlot(next, { ...asCold(slot), tier }, release(next.ledger, model, ''))
+      : putSlot(next, { ...toCold(slot), tier }, release(next.ledger, model, ''))
   }
   return next
 }
@@ -176,7 +176,7 @@
 }
 
 /** Notes that a model or adapter is used; `wasIdle`: nothing ran on it before, so that a gap ends. */
-export const touch = (state: EngineState, model: ModelId, adapter: string, wasIdle: boolean, nowMs: number): EngineState => {
+export const recordUse = (state: EngineState, model: ModelId, adapter: string, wasIdle: boolean, nowMs: number): EngineState => {
   const slot = findSlot(state, model)
   const isGap = wasIdle && slot.lastUsedMs > 0
   const pastGapsMs = isGap ? [...slot.pastGapsMs, nowMs - slot.lastUsedMs].slice(-GAP_COUNT) : slot.pastGapsMs
@@ -196,7 +196,7 @@
 }
 
 /** Holds back the load of one model that the weight store turned away; loads of others ask for themselves. */
-export const holdSlot = (state: EngineState, model: ModelId, untilMs: number): EngineState => {
+export const delayLoad = (state: EngineState, model: ModelId, untilMs: number): EngineState => {
   const slot = findSlot(state, model)
   return putSlot(state, { ...slot, notBeforeMs: Math.max(slot.notBeforeMs, untilMs) })
 }
--- a/packages/agent/src/loading/storePace.ts
+++ b/packages/agent/src/loading/storePace.ts
@@ -1,11 +1,11 @@
-import type { StorePace } from './types.js'
+import type { StoreBackoff } from './types.js'
 
 /** A store that has not refused lately. */
-export const freshPace: StorePace = { notBeforeMs: 0, failureCount: 0 }
+export const noBackoff: StoreBackoff = { notBeforeMs: 0, failureCount: 0 }
 
 /** Holds back loads from the weight store after it refused one; how long is a decision of its own. */
-export const holdBack = (pace: StorePace, pauseMs: number, nowMs: number): StorePace =>
-  ({ failureCount: pace.failureCount + 1, notBeforeMs: nowMs + pauseMs })
+export const delayStoreLoads = (backoff: StoreBackoff, pauseMs: number, nowMs: number): StoreBackoff =>
+  ({ failureCount: backoff.failureCount + 1, notBeforeMs: nowMs + pauseMs })
 
 /** A load from the store went through. */
-export const easeStore = (pace: StorePace): StorePace => ({ ...pace, failureCount: Math.max(0, pace.failureCount - 1) })
+export const afterStoreLoad = (backoff: StoreBackoff): StoreBackoff => ({ ...backoff, failureCount: Math.max(0, backoff.failureCount - 1) })
--- a/packages/agent/src/loading/types.ts
+++ b/packages/agent/src/loading/types.ts
@@ -50,7 +50,7 @@
 }
 
 /** Pace of loads from the weight store. */
-export interface StorePace {
+export interface StoreBackoff {
   readonly notBeforeMs: number
   readonly failureCount: number
 }
@@ -59,7 +59,7 @@
 export interface EngineState {
   readonly slots: ReadonlyMap<ModelId, Slot>
   readonly ledger: Ledger
-  readonly store: StorePace
+  readonly store: StoreBackoff
   /** Smoothed time of loads from the weight store over all models, in ms; 0 when none is known. */
   readonly typicalLoadMs: number
 }
@@ -87,4 +87,4 @@
 export type OrderOutcome =
   | { readonly kind: 'done', readonly tookMs: number }
   /** `inventory` shows what the engine holds instead. */
-  | { readonly kind: 'notDone', readonly reason: string, readonly storeIsFull: boolean, readonly inventory: Inventory }
+  | { readonly kind: 'notDone', readonly reason: string, readonly isStoreFull: boolean, readonly inventory: Inventory }
--- a/packages/agent/src/membership/watchInstances.ts
+++ b/packages/agent/src/membership/watchInstances.ts
@@ -54,22 +54,22 @@
   let listing = UNKNOWN
   let readAtMs = Number.NEGATIVE_INFINITY
 
-  const look = async (): Promise<void> => {
+  const readList = async (): Promise<void> => {
     const askedAtMs = timers.nowMs()
     const answer = (await read(instance).run()).toMaybe().extract()
     if (!answer) return
-    const isNews = answer.listed !== listing.listed || answer.leaving !== listing.leaving
+    const hasChanged = answer.listed !== listing.listed || answer.leaving !== listing.leaving
     listing = answer
     readAtMs = askedAtMs
-    if (isNews) onChange(answer)
+    if (hasChanged) onChange(answer)
   }
 
-  runInBackground(events, 'membership.list', look())
-  const stop = timers.every(Math.max(1, periodMs), () => runInBackground(events, 'membership.list', look()))
+  runInBackground(events, 'membership.list', readList())
+  const stop = timers.every(Math.max(1, periodMs), () => runInBackground(events, 'membership.list', readList()))
   return {
     // An old reading is no evidence: the list may have dropped or taken back the instance since.
     current: () => timers.nowMs() - readAtMs <= periodMs * STALE_PERIODS ? listing : { ...listing, listed: 'unknown' },
-    refresh: look,
+    refresh: readList,
     stop
   }
 }
--- a/packages/agent/src/memory/memory.test.ts
+++ b/packages/agent/src/memory/memory.test.ts
@@ -55,7 +55,7 @@
       engine.knobs.fateOf = () => 'answer'
       engine.knobs.isDown = false
       await under.advance(12_000)
-      const answered = router.heard.filter(({ type }) => type === 'final' || type === 'refused').length
+      const answered = router.received.filter(({ type }) => type === 'final' || type === 'refused').length
       expect(answered, 'every request is answered or refused').to.equal(count)
       await under.agent.stop()
     }), { numRuns: 25, seed: 7 })
--- a/packages/agent/src/once/constants.ts
+++ b/packages/agent/src/once/constants.ts
@@ -2,4 +2,4 @@
 export const PERMIT_RETRY_MS = 1_000
 
 /** Period at which expired keys are forgotten. */
-export const FORGET_MS = 10_000
+export const KEY_SWEEP_MS = 10_000
--- a/packages/agent/src/once/createPermitLedger.ts
+++ b/packages/agent/src/once/createPermitLedger.ts
@@ -22,7 +22,7 @@
   readonly isDraining: () => boolean
 }
 
-interface Ask {
+interface PermitRequest {
   readonly target: ModelId
   readonly request: KeyedRequest
   readonly attemptId: AttemptId
@@ -32,7 +32,7 @@
 
 /** The decisions of the holder of `keys` rights, remembered for ONCE_WINDOW_MS. */
 export interface PermitLedger {
-  readonly ask: (ask: Ask) => PermitReply
+  readonly ask: (ask: PermitRequest) => PermitReply
   /** Takes a permit back of which nothing ran; ignored when the key has gone to another attempt. */
   readonly withdraw: (key: KeyName, attemptId: AttemptId) => void
   readonly sweep: () => void
@@ -46,7 +46,7 @@
   const { timers, events, instance, maxKeys } = options
   const entries = new Map<string, PermitEntry>()
 
-  const grant = (key: string, { target, request, attemptId, executor, executorIncarnation }: Ask, keys: HeldKeys): Permit => {
+  const grant = (key: string, { target, request, attemptId, executor, executorIncarnation }: PermitRequest, keys: HeldKeys): Permit => {
     const permit: Permit = {
       caller: request.caller,
       requestKey: request.requestKey,
--- a/packages/agent/src/once/judgePermit.ts
+++ b/packages/agent/src/once/judgePermit.ts
@@ -9,7 +9,7 @@
   ({ kind: 'refuse', refusal: { runState, reason, retryAfterMs: Math.max(0, Math.ceil(retryAfterMs)), detail, step: 'once.permit', peer: '' } })
 
 /** What is true of a key that another holder may have decided on: nothing of a first send can have run. */
-const unlessResent = (view: PermitView): RunState => view.resendCount === 0 ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN
+const notRunUnlessResent = (view: PermitView): RunState => view.resendCount === 0 ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN
 
 /**
  * Decides on a key that the holder does not know.
@@ -22,21 +22,21 @@
   const { tenure, issuedAtMs, nowUnixMs } = view
   if (issuedAtMs > nowUnixMs + CLOCK_ERROR_MS) {
     // A holder before this one, with a clock that is ahead, may have taken the stamp for a good one.
-    return refuse(unlessResent(view), RefusalReason.INVALID, 0, 'the key is issued in the future')
+    return refuse(notRunUnlessResent(view), RefusalReason.INVALID, 0, 'the key is issued in the future')
   }
   if (issuedAtMs < nowUnixMs - ONCE_WINDOW_MS) {
-    return refuse(unlessResent(view), RefusalReason.KEY_EXPIRED, 0, 'the key is too old')
+    return refuse(notRunUnlessResent(view), RefusalReason.KEY_EXPIRED, 0, 'the key is too old')
   }
-  if (!tenure) return refuse(unlessResent(view), RefusalReason.UNAVAILABLE, PERMIT_RETRY_MS, 'the keys are decided on elsewhere')
+  if (!tenure) return refuse(notRunUnlessResent(view), RefusalReason.UNAVAILABLE, PERMIT_RETRY_MS, 'the keys are decided on elsewhere')
   if (issuedAtMs < tenure.fromMs) {
-    return refuse(unlessResent(view), RefusalReason.UNAVAILABLE, tenure.fromMs - nowUnixMs, 'the key is older than the tenure of its holder')
+    return refuse(notRunUnlessResent(view), RefusalReason.UNAVAILABLE, tenure.fromMs - nowUnixMs, 'the key is older than the tenure of its holder')
   }
   if (view.authority === 'none') {
-    return refuse(unlessResent(view), RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the holder of the keys is not sure of its right')
+    return refuse(notRunUnlessResent(view), RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the holder of the keys is not sure of its right')
   }
   if (view.authority === 'outage') {
     // A void needs the list to have dropped the holder: while the list names it there is no successor.
-    const runState = view.isListed ? RunState.NOT_RUN : unlessResent(view)
+    const runState = view.isListed ? RunState.NOT_RUN : notRunUnlessResent(view)
     return refuse(runState, RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the log is out of reach')
   }
   if (view.draining) return refuse(RunState.NOT_RUN, RefusalReason.STOPPING, PERMIT_RETRY_MS, 'the holder of the keys is leaving')
--- a/packages/agent/src/once/once.test.ts
+++ b/packages/agent/src/once/once.test.ts
@@ -37,11 +37,11 @@
 }
 
 const ask = async (under: AgentUnderTest, router: FakeRouter, id: string, executor: string, more: Partial<RunRequest> = {}): Promise<PermitReply> => {
-  const askId = router.heard.length
+  const askId = router.received.length
   const { prompt: _prompt, doneTokens: _done, ...request } = aRequest(under.timers.unixMs(), once(more))
   router.send({ type: 'permit.ask', askId, attemptId: id as AttemptId, executor: executor as InstanceName, executorIncarnation: 'x' as Incarnation, request })
   await under.advance(20)
-  const reply = router.heard.find(message => message.type === 'permit.reply' && message.askId === askId)
+  const reply = router.received.find(message => message.type === 'permit.reply' && message.askId === askId)
   if (reply?.type !== 'permit.reply') throw new Error('no reply')
   return reply.reply
 }
--- a/packages/agent/src/plain/callPlain.ts
+++ b/packages/agent/src/plain/callPlain.ts
@@ -1,8 +1,8 @@
 import { Agent, request as httpRequest } from 'node:http'
 import { FaultKind, faultFrom, makeFault } from '@figmount/base'
 
-import { isRefused } from '../engine/engineFaults.js'
-import { DIAL_TIMEOUT_MS, HOP_HEADERS, IDLE_SOCKET_MS, MAX_ANSWER_BYTES, POOLED_SILENCE_MS } from './constants.js'
+import { isConnectFailure } from '../engine/engineFaults.js'
+import { DIAL_TIMEOUT_MS, HOP_BY_HOP_HEADERS, IDLE_SOCKET_MS, MAX_ANSWER_BYTES, POOLED_SILENCE_MS } from './constants.js'
 
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Fault, TimerService } from '@figmount/base'
@@ -29,7 +29,7 @@
   const headers: Record<string, string | string[]> = {}
   for (const [name, value] of call.headers) {
     const key = name.toLowerCase()
-    if (HOP_HEADERS.has(key)) continue
+    if (HOP_BY_HOP_HEADERS.has(key)) continue
     const known = headers[key]
     headers[key] = known === undefined ? value : [...(Array.isArray(known) ? known : [known]), value]
   }
@@ -41,7 +41,7 @@
   const pairs: Array<readonly [string, string]> = []
   for (let index = 0; index + 1 < response.rawHeaders.length; index += 2) {
     const [name = '', value = ''] = response.rawHeaders.slice(index, index + 2)
-    if (!HOP_HEADERS.has(name.toLowerCase())) pairs.push([name, value])
+    if (!HOP_BY_HOP_HEADERS.has(name.toLowerCase())) pairs.push([name, value])
   }
   return pairs
 }
@@ -64,7 +64,7 @@
  * known. Calls that may not be repeated therefore never use a pooled connection. Repeatable ones do, and are
  * sent again over a new one when nothing comes back on a reused connection.
  */
-export const createPlainCaller = (address: string, timers: TimerService): CallPlain => {
+export const createCallPlain = (address: string, timers: TimerService): CallPlain => {
   const pool = new Agent({ keepAlive: true, timeout: IDLE_SOCKET_MS })
   const single = new Agent({ keepAlive: false })
   const [host = '', portText = ''] = address.split(':')
@@ -117,7 +117,7 @@
 }
 
 /** A fault for an attempt that carries no call though its target is a plain service. */
-export const missingCall = (address: string): Fault => makeFault(FaultKind.Invalid, 'plain.call', address, 'the request carries no HTTP call')
+export const missingCallFault = (address: string): Fault => makeFault(FaultKind.Invalid, 'plain.call', address, 'the request carries no HTTP call')
 
 /** True when nothing listens at the service's address. */
-export const isServiceDown = (fault: Fault): boolean => isRefused(fault)
+export const isServiceDown = (fault: Fault): boolean => isConnectFailure(fault)
--- a/packages/agent/src/plain/constants.ts
+++ b/packages/agent/src/plain/constants.ts
@@ -14,7 +14,7 @@
 export const POOLED_SILENCE_MS = 2_000
 
 /** Headers that belong to one connection and are not passed on. */
-export const HOP_HEADERS: ReadonlySet<string> = new Set([
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade',
   'host', 'content-length'
 ])
--- a/packages/agent/src/plain/plain.test.ts
+++ b/packages/agent/src/plain/plain.test.ts
@@ -2,7 +2,7 @@
 import { createTimerService, sleep } from '@figmount/base'
 import { expect } from 'chai'
 
-import { createPlainCaller } from './callPlain.js'
+import { createCallPlain } from './callPlain.js'
 import { probeService } from './probeService.js'
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -36,7 +36,7 @@
     server.on('connection', socket => sockets.add(socket))
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
     address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-    call = createPlainCaller(address, timers)
+    call = createCallPlain(address, timers)
   })
 
   afterEach(async () => {
--- a/packages/agent/src/queueing/createEstimates.test.ts
+++ b/packages/agent/src/queueing/createEstimates.test.ts
@@ -5,7 +5,7 @@
 import { createEstimates } from './createEstimates.js'
 
 describe('estimates', () => {
-  it('expect the mean and bound it', () => {
+  it('predict the mean length and an upper bound', () => {
     const estimates = createEstimates(createVirtualTimers(START_UNIX_MS))
     const request = aRequest(START_UNIX_MS, { maxTokens: 100 })
     expect([estimates.expectedTokens(request), estimates.boundTokens(request)]).to.deep.equal([100, 100])
@@ -15,14 +15,14 @@
     expect([estimates.expectedTokens(short), estimates.boundTokens(short)]).to.deep.equal([20, 30])
   })
 
-  it('count the time to the first token', () => {
+  it('include the time to the first token', () => {
     const estimates = createEstimates(createVirtualTimers(START_UNIX_MS))
     const request = aRequest(START_UNIX_MS, { maxTokens: 10 })
     estimates.notePrefill(4)
     expect([estimates.expectedTokens(request), estimates.boundTokens(request)]).to.deep.equal([14, 14])
   })
 
-  it('learn nothing from an answer cut below the mean', () => {
+  it('ignore an answer that was cut off below the mean', () => {
     const estimates = createEstimates(createVirtualTimers(START_UNIX_MS))
     const request = aRequest(START_UNIX_MS, { maxTokens: 100 })
     const short = { ...request, maxTokens: 3 }
--- a/packages/agent/src/queueing/createEstimates.ts
+++ b/packages/agent/src/queueing/createEstimates.ts
@@ -4,10 +4,10 @@
 import type { Estimate } from '@figmount/decisions'
 import type { RunRequest } from '@figmount/peers'
 
-/** Half-life of the counts of refusals and of served requests. Grounds: come-back times are seconds. */
+/** Half-life of the counts of refused and served requests; retry-after times are a few seconds. */
 const RATE_HALF_LIFE_MS = 5_000
 
-/** Models whose lengths of answers are remembered; the configuration bounds the models of an agent below that. */
+/** Most models with a stored answer length; the configuration allows an agent fewer models than that. */
 const MAX_MODELS = 4_000
 
 const MS_PER_SECOND = 1000
@@ -20,22 +20,22 @@
 
 type TokenRequest = Pick<RunRequest, 'model' | 'maxTokens' | 'doneTokens'>
 
-/** What the agent has measured of its own predictions and traffic. */
+/** Estimates from the agent's own measurements: answer lengths, waits, refusals and service rate. */
 export interface Estimates {
   /**
-   * Tokens to expect of a request: the mean of its model's answers, at most what was asked for, and the time to the
-   * first token as the tokens that take as long.
+   * Expected tokens of a request: the mean of its model's answers, at most its `maxTokens`, plus the time to the
+   * first token expressed in tokens.
    */
   readonly expectedTokens: (request: TokenRequest) => number
-  /** The same with the tokens that most answers of its model stay under. */
+  /** Like `expectedTokens`, with an upper bound that most answers of the model stay below instead of the mean. */
   readonly boundTokens: (request: TokenRequest) => number
-  /** Notes a whole answer of `tokenCount` tokens, those done elsewhere included. */
+  /** Records a complete answer of `tokenCount` tokens, including those generated elsewhere. */
   readonly noteAnswer: (request: TokenRequest, tokenCount: number) => void
-  /** Notes the expected tokens of a request that starts. */
+  /** Records the expected tokens of a request that starts. */
   readonly noteStart: (tokenCount: number) => void
-  /** Mean expected tokens of those that started of late; 0 before the first. */
+  /** Mean expected tokens of recently started requests; 0 before the first. */
   readonly meanTokens: () => number
-  /** Notes the time from a start to its first token, in token intervals. */
+  /** Records the time from a start to its first token, in token intervals. */
   readonly notePrefill: (tokenCount: number) => void
   readonly noteWait: (predictedMs: number, actualMs: number) => void
   readonly noteRefusal: () => void
@@ -46,7 +46,7 @@
 
 const decayedTo = ({ count, asOfMs }: Decayed, nowMs: number): number => count * 0.5 ** ((nowMs - asOfMs) / RATE_HALF_LIFE_MS)
 
-/** Makes the estimates of one agent. */
+/** Creates the estimates of one agent. */
 export const createEstimates = (timers: TimerService): Estimates => {
   const tokens = new Map<ModelId, Estimate>()
   let waitRatio: Estimate = { mean: 1, deviation: 0, observedCount: 0 }
@@ -55,7 +55,7 @@
   let refused: Decayed = { count: 0, asOfMs: 0 }
   let served: Decayed = { count: 0, asOfMs: 0 }
 
-  const plusOne = (known: Decayed): Decayed => {
+  const increment = (known: Decayed): Decayed => {
     const nowMs = timers.nowMs()
     return { count: decayedTo(known, nowMs) + 1, asOfMs: nowMs }
   }
@@ -70,9 +70,9 @@
     expectedTokens: tokensBy(({ mean }) => mean),
     boundTokens: tokensBy(upperBound),
     noteAnswer: ({ model, maxTokens }, tokenCount) => {
-      served = plusOne(served)
-      // An answer cut at its limit shows only that the length is no less. Taken as the length, one short
-      // limit makes long requests look short, and more are admitted than end before their deadlines.
+      served = increment(served)
+      // An answer cut off at `maxTokens` only shows that the length is at least that. Counted as the full length, one
+      // short limit would make long requests look short, and more would be admitted than finish before their deadlines.
       const known = tokens.get(model)
       if (tokenCount >= maxTokens && tokenCount <= (known?.mean ?? Number.POSITIVE_INFINITY)) return
       if (tokens.size >= MAX_MODELS && !known) tokens.clear()
@@ -82,13 +82,13 @@
     meanTokens: () => startedTokens.mean,
     notePrefill: tokenCount => { prefillTokens = observe(prefillTokens, tokenCount) },
     noteWait: (predictedMs, actualMs) => {
-      // A prediction of next to nothing says nothing about the ratio.
+      // A prediction below 1 ms carries no information about the ratio.
       if (predictedMs >= 1) waitRatio = observe(waitRatio, actualMs / predictedMs)
     },
-    noteRefusal: () => { refused = plusOne(refused) },
+    noteRefusal: () => { refused = increment(refused) },
     waitRatio: () => waitRatio,
     recentRefusals: () => decayedTo(refused, timers.nowMs()),
-    // The sum of a steady rate under decay is the rate times the half-life over ln 2.
+    // A steady rate under exponential decay sums to the rate times the half-life over ln 2.
     servedPerSecond: () => decayedTo(served, timers.nowMs()) * Math.LN2 / RATE_HALF_LIFE_MS * MS_PER_SECOND
   }
 }
--- a/packages/agent/src/queueing/createQueue.ts
+++ b/packages/agent/src/queueing/createQueue.ts
@@ -5,10 +5,10 @@
 import type { Attempt } from '../attempts/types.js'
 import type { Estimates } from './createEstimates.js'
 
-/** A queued attempt with what the order of service is decided on. */
+/** A queued attempt with the data that the order of service is decided on. */
 export interface QueuedAttempt {
   readonly attempt: Attempt
-  /** What its wait was expected to be when it was admitted. */
+  /** Expected wait when the attempt was admitted. */
   readonly predictedWaitMs: number
   readonly waiting: WaitingRequest<AttemptId>
 }
@@ -24,29 +24,29 @@
   readonly estimates: Pick<Estimates, 'expectedTokens' | 'boundTokens'>
 }
 
-/** Stands for the id of a request that asks to be queued; nothing is looked up by it. */
+/** Placeholder id of a request that is not queued yet; never used for a look-up. */
 const NO_ATTEMPT = '' as AttemptId
 
-/** The bounded queue of one agent; its bound is kept at admission. */
+/** The queue of one agent. Its length limit is enforced at admission. */
 export interface Queue {
   readonly add: (attempt: Attempt, predictedWaitMs: number) => void
   readonly remove: (id: AttemptId) => void
   readonly all: () => Iterable<QueuedAttempt>
   readonly count: () => number
-  /** Expected tokens that are served before a request that arrives now, by the order of service. */
+  /** Expected tokens that would be served before a request that arrives now. */
   readonly tokensAhead: (request: Attempt['request']) => number
-  /** Those that can start now. */
+  /** Waiting requests that can start now. */
   readonly ready: (canStart: (attempt: Attempt) => boolean) => ReadyRequests
   readonly get: (id: AttemptId) => QueuedAttempt | undefined
-  /** Picks the next of `ready`; it stays queued until removed. */
+  /** Picks the next attempt of `ready`; it stays queued until removed. */
   readonly pick: (ready: ReadyRequests) => QueuedAttempt | undefined
-  /** Accounts tokens for fairness; a negative count takes back what was accounted too much. */
+  /** Accounts tokens to the caller for fairness; a negative count corrects an earlier overestimate. */
   readonly account: (attempt: Attempt, tokenCount: number) => void
 }
 
 type Arrival = Pick<Attempt, 'id' | 'request' | 'arrivedAtMs' | 'deadlineAtMs'>
 
-const waitingOf = ({ id, request, arrivedAtMs, deadlineAtMs }: Arrival, expectedTokens: number): WaitingRequest<AttemptId> => ({
+const toWaitingRequest = ({ id, request, arrivedAtMs, deadlineAtMs }: Arrival, expectedTokens: number): WaitingRequest<AttemptId> => ({
   id,
   model: request.model,
   adapter: request.adapter,
@@ -59,19 +59,19 @@
   deadlineAtMs
 })
 
-/** Makes the queue of one agent. */
+/** Creates the queue of one agent. */
 export const createQueue = ({ timers, pickNext, accountServed, estimateAhead, estimates }: Options): Queue => {
   const queued = new Map<AttemptId, QueuedAttempt>()
   let fairness: FairnessState = noFairness
 
-  const estimated = (arrival: Arrival): WaitingRequest<AttemptId> => ({
-    ...waitingOf(arrival, estimates.expectedTokens(arrival.request)),
+  const withEstimates = (arrival: Arrival): WaitingRequest<AttemptId> => ({
+    ...toWaitingRequest(arrival, estimates.expectedTokens(arrival.request)),
     boundTokens: estimates.boundTokens(arrival.request)
   })
 
   return {
     add: (attempt, predictedWaitMs) => {
-      queued.set(attempt.id, { attempt, predictedWaitMs, waiting: estimated(attempt) })
+      queued.set(attempt.id, { attempt, predictedWaitMs, waiting: withEstimates(attempt) })
     },
     remove: id => { queued.delete(id) },
     all: () => queued.values(),
@@ -80,7 +80,7 @@
       const nowMs = timers.nowMs()
       const waiting = [...queued.values()].map(entry => entry.waiting)
       const arrival = { id: NO_ATTEMPT, request, arrivedAtMs: nowMs, deadlineAtMs: nowMs + request.remainingMs }
-      return estimateAhead(waiting, estimated(arrival), fairness, nowMs)
+      return estimateAhead(waiting, withEstimates(arrival), fairness, nowMs)
     },
     ready: canStart => {
       const ready: Array<WaitingRequest<AttemptId>> = []
@@ -96,7 +96,7 @@
       return picked && queued.get(picked.id)
     },
     account: (attempt, tokenCount) => {
-      fairness = accountServed(fairness, waitingOf(attempt, 0), tokenCount, timers.nowMs())
+      fairness = accountServed(fairness, toWaitingRequest(attempt, 0), tokenCount, timers.nowMs())
     }
   }
 }
--- a/packages/agent/src/queueing/queueing.test.ts
+++ b/packages/agent/src/queueing/queueing.test.ts
@@ -27,12 +27,12 @@
 }
 
 const refusedIds = (router: FakeRouter): readonly string[] =>
-  router.heard.flatMap(message => message.type === 'refused' ? [message.attemptId] : [])
+  router.received.flatMap(message => message.type === 'refused' ? [message.attemptId] : [])
 
 describe('queueing', () => {
-  // Ten times more work arrives than can be done in time. Queued all the same, every caller
-  // would wait until its deadline and be refused there.
-  it('refuses at once what cannot be served in time, and serves the rest in time', async () => {
+  // Ten times more work arrives than can be served in time. If all of it were queued, every caller would wait until
+  // its deadline and be refused then.
+  it('refuses at once requests that cannot be served in time, and serves the rest in time', async () => {
     const { under, router } = await ready()
     for (let index = 0; index < 100; index += 1) router.start(`r${index}`, { prompt: `p${index}`, maxTokens: 20, remainingMs: 2_000 })
     await under.advance(20)
@@ -45,8 +45,8 @@
     expect(late, 'admitted and then refused at the deadline').to.equal(0)
   })
 
-  // A model's first load is assumed to take 15 s and its callers give 5 s. Each is told to come
-  // back and none is ever served: nobody waits, so nothing is loaded and the assumption stands.
+  // A model's first load is assumed to take 15 s and its callers allow 5 s. If each is refused and none is queued, the
+  // model is never loaded and the assumption is never corrected.
   it('loads for callers that it refuses, so that the resend is served', async () => {
     const { under, router } = await start()
     const cold = { model: 'reader/cold' as ModelId, remainingMs: 5_000 }
@@ -60,7 +60,7 @@
     expect(under.engine.runs).to.include('again')
   })
 
-  it('keeps its bound', async () => {
+  it('limits its length', async () => {
     const { under, router } = await ready({ max_queued: '10' })
     for (let index = 0; index < 40; index += 1) router.start(`r${index}`, { prompt: `p${index}`, priority: 9, maxTokens: 3 })
     await under.advance(10)
@@ -78,9 +78,8 @@
     expect(under.engine.runs.indexOf('high')).to.be.below(under.engine.runs.indexOf('low'))
   })
 
-  // One caller sends far more than the others. Served in order of arrival, everybody would
-  // wait behind it.
-  it('does not let a hot caller hold up another', async () => {
+  // One caller sends far more than the others. In order of arrival, all others would wait behind it.
+  it('does not let a busy caller delay another', async () => {
     const { under, router } = await ready()
     for (let index = 0; index < 30; index += 1) router.start(`hot${index}`, { caller: 'hot' as CallerName, tenant: 'a', prompt: `hot${index}`, maxTokens: 20 })
     await under.advance(50)
@@ -89,9 +88,9 @@
     expect(under.engine.runs.indexOf('quiet')).to.be.within(1, 10)
   })
 
-  // A hot caller's queue takes longer than a quiet caller's deadline. Counted whole, it has the quiet
-  // one refused for work that is served after its own.
-  it('does not refuse a quiet caller for the queue of a hot one', async () => {
+  // A busy caller's queue takes longer than a quiet caller's deadline. If the whole queue were counted as ahead, the
+  // quiet caller would be refused because of work that is served after its own.
+  it('does not refuse a quiet caller because of a busy one', async () => {
     const { under, router } = await ready()
     for (let index = 0; index < 60; index += 1) router.start(`hot${index}`, { caller: 'hot' as CallerName, tenant: 'a', prompt: `hot${index}`, maxTokens: 20 })
     await under.advance(50)
@@ -102,9 +101,9 @@
     expect(router.finalOf('quiet')).to.not.equal(undefined)
   })
 
-  // The engine becomes slow after a request was admitted. Started all the same, it holds a place in the
-  // batch until its deadline, is cut off there, and its caller learns of it only then.
-  it('gives up what can no longer end in time, before it runs', async () => {
+  // The engine becomes slow after a request was admitted. Started anyway, the request would occupy a batch slot until
+  // its deadline and be cut off there, and its caller would be refused only then.
+  it('sheds requests that can no longer finish in time, before they run', async () => {
     const { under, router } = await ready()
     for (let index = 0; index < 4; index += 1) router.start(`busy${index}`, { prompt: `busy${index}`, maxTokens: 30 })
     await under.advance(20)
@@ -118,9 +117,9 @@
     expect(under.engine.runs).to.not.include('late')
   })
 
-  // Now and then a long report arrives among many short questions. Once reports hold every place, a
-  // question waits until the first of them is whole.
-  it('keeps a place free of long requests', async () => {
+  // Occasional long requests arrive among many short ones. Once long requests occupy all batch slots, a short one waits
+  // until the first of them ends.
+  it('keeps a batch slot free of long requests', async () => {
     const { under, router } = await ready()
     const reports = (): readonly string[] => under.engine.runs.filter(prompt => prompt.startsWith('report'))
     for (let index = 0; index < 40; index += 1) {
@@ -134,12 +133,12 @@
     expect(reports()).to.have.length(5)
   })
 
-  it('tells who waits once a second what it waits for', async () => {
+  it('sends waiting requests an estimate of their wait once a second', async () => {
     const { under, router } = await ready()
     under.engine.knobs.loadMs = 3_500
     router.start('a', { model: 'reader/cold' as ModelId, prompt: 'a' })
     await under.advance(3_000)
-    const waits = router.heard.flatMap(message => message.type === 'progress' && message.attemptId === 'a' ? [message.estimatedWaitMs] : [])
+    const waits = router.received.flatMap(message => message.type === 'progress' && message.attemptId === 'a' ? [message.estimatedWaitMs] : [])
     expect(waits.length).to.be.within(3, 5)
     expect(waits.at(-1)).to.be.below(waits[0] ?? 0)
   })
--- a/packages/agent/src/queueing/viewDemands.ts
+++ b/packages/agent/src/queueing/viewDemands.ts
@@ -2,9 +2,9 @@
 import type { Attempt } from '../attempts/types.js'
 import type { Demand } from '../loading/types.js'
 import type { QueuedAttempt } from './createQueue.js'
-import type { Wake } from './createWakes.js'
+import type { LoadRequest } from './createLoadRequests.js'
 
-interface Builder {
+interface DemandBuilder {
   waitingCount: number
   runningCount: number
   highestPriority: number
@@ -15,7 +15,7 @@
   readonly runningAdapters: Set<string>
 }
 
-const emptyBuilder = (): Builder => ({
+const emptyBuilder = (): DemandBuilder => ({
   waitingCount: 0,
   runningCount: 0,
   highestPriority: 0,
@@ -26,7 +26,7 @@
   runningAdapters: new Set()
 })
 
-const addWake = (builder: Builder, { version, adapter, priority, askedAtMs }: Wake): void => {
+const addLoadRequest = (builder: DemandBuilder, { version, adapter, priority, askedAtMs }: LoadRequest): void => {
   builder.waitingCount += 1
   builder.highestPriority = Math.max(builder.highestPriority, priority)
   if (adapter !== '') builder.wantedAdapters.add(adapter)
@@ -36,17 +36,18 @@
 }
 
 /**
- * Sums up who waits for and runs on each model. The version wanted is that of the request that has waited longest,
- * so that two versions asked for in turn both get served. A wake counts as one who waits without a deadline.
+ * Aggregates the waiting and running requests of each model. The wanted version is that of the request that has waited
+ * longest, so that two versions requested in turn are both served. A load request counts as one waiting request
+ * without a deadline.
  */
 export const viewDemands = (
   queued: Iterable<QueuedAttempt>,
   running: Iterable<Attempt>,
   versionOf: (attempt: Pick<Attempt, 'request'>) => string,
-  wakes: readonly Wake[] = []
+  loadRequests: readonly LoadRequest[] = []
 ): ReadonlyMap<ModelId, Demand> => {
-  const builders = new Map<ModelId, Builder>()
-  const builderFor = (model: ModelId): Builder => {
+  const builders = new Map<ModelId, DemandBuilder>()
+  const builderFor = (model: ModelId): DemandBuilder => {
     const known = builders.get(model)
     if (known) return known
     const made = emptyBuilder()
@@ -68,6 +69,6 @@
     builder.runningCount += 1
     if (attempt.request.adapter !== '') builder.runningAdapters.add(attempt.request.adapter)
   }
-  for (const wake of wakes) addWake(builderFor(wake.model), wake)
+  for (const loadRequest of loadRequests) addLoadRequest(builderFor(loadRequest.model), loadRequest)
   return builders
 }
--- a/packages/agent/src/rights/appendReliably.ts
+++ b/packages/agent/src/rights/appendReliably.ts
@@ -6,7 +6,7 @@
 import type { AgentContext } from '../agent/types.js'
 
 /** Appends a record, again and again under one id until the log has it or `stillWanted` says no. */
-export type AppendReliably = (record: NewRecord, stillWanted?: () => boolean) => void
+export type AppendReliably = (record: NewRecord, isStillWanted?: () => boolean) => void
 
 const FIRST_RETRY_MS = 500
 const MAX_RETRY_MS = 10_000
@@ -16,9 +16,9 @@
   const { records, events, timers, incarnation } = context
   let idCount = 0
 
-  const run = async (record: NewRecord, stillWanted: () => boolean): Promise<void> => {
+  const run = async (record: NewRecord, isStillWanted: () => boolean): Promise<void> => {
     const recordId = `${incarnation}.a${idCount++}`
-    for (let retryMs = FIRST_RETRY_MS; !signal.aborted && stillWanted(); retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs)) {
+    for (let retryMs = FIRST_RETRY_MS; !signal.aborted && isStillWanted(); retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs)) {
       const result = await records.append({ ...record, recordId } as NewRecord).run()
       if (result.isRight()) return
       const fault = result.extract() as { readonly step: string, readonly peer: string, readonly message: string }
@@ -27,5 +27,5 @@
     }
   }
 
-  return (record, stillWanted = () => true) => runInBackground(events, 'rights.append', run(record, stillWanted))
+  return (record, isStillWanted = () => true) => runInBackground(events, 'rights.append', run(record, isStillWanted))
 }
--- a/packages/agent/src/rights/createRightsKeeper.ts
+++ b/packages/agent/src/rights/createRightsKeeper.ts
@@ -19,7 +19,7 @@
   /** True when nothing of the model is on the engine and no order for it is open. */
   readonly isUnloaded: (model: ModelId) => boolean
   /** True when all rights are to be given back because the instance goes away. */
-  readonly isGivingUp: () => boolean
+  readonly isReleasingAll: () => boolean
   readonly onChange: () => void
 }
 
@@ -33,22 +33,22 @@
 }
 
 /** Makes the keeper of this agent's rights. */
-export const createRightsKeeper = ({ context, append, isUnloaded, isGivingUp, onChange }: Options): RightsKeeper => {
+export const createRightsKeeper = ({ context, append, isUnloaded, isReleasingAll, onChange }: Options): RightsKeeper => {
   const { records, events, timers, instance, incarnation } = context
-  const ordersLapseAtMs = timers.nowMs() + ORDER_DEADLINE_MS + ORDER_SETTLE_MS
+  const earlierOrdersExpireAtMs = timers.nowMs() + ORDER_DEADLINE_MS + ORDER_SETTLE_MS
   const releasing = new Set<number>()
   const renewing = new Set<number>()
-  let seenState: AgreedState | undefined
-  let seenGivingUp = false
+  let lastState: AgreedState | undefined
+  let wasReleasingAll = false
   let held: HeldRights = noRights
 
   const current = (): HeldRights => {
     const state = records.state()
-    const givingUp = isGivingUp()
-    if (state === seenState && givingUp === seenGivingUp) return held
-    seenState = state
-    seenGivingUp = givingUp
-    const rights = viewRights(state, instance, incarnation, givingUp)
+    const releasingAll = isReleasingAll()
+    if (state === lastState && releasingAll === wasReleasingAll) return held
+    lastState = state
+    wasReleasingAll = releasingAll
+    const rights = viewRights(state, instance, incarnation, releasingAll)
     // Before its own announcement has been read back an agent cannot know whether the rights are still its own.
     // Its slots only say what it may go on serving from an engine that holds it; nothing is loaded or given back.
     held = isAnnounced(context) ? rights : { ...noRights, slots: rights.slots }
@@ -58,14 +58,14 @@
   // Guards against an order that an earlier run of this agent has sent and that is still on its way:
   // the engine shows nothing loaded, the right is given back and granted elsewhere, and then the
   // order loads the model here, too. Once every such order has lapsed the inventory is the truth.
-  const mayHaveOrderOnItsWay = (right: RightState): boolean => {
+  const mayHavePendingOrder = (right: RightState): boolean => {
     const announcedAt = records.state().agents.get(instance)?.offset ?? 0
-    return right.fence < announcedAt && timers.nowMs() < ordersLapseAtMs
+    return right.fence < announcedAt && timers.nowMs() < earlierOrdersExpireAtMs
   }
 
   const canRelease = (right: RightState): boolean => {
     if (right.key.kind === 'keys') return true
-    if (mayHaveOrderOnItsWay(right)) return false
+    if (mayHavePendingOrder(right)) return false
     const slot = current().slots.get(right.key.target)
     // Another slot of the same model is in force here: the replica on the engine counts under that one.
     if (slot && slot.fence !== right.fence) return true
@@ -89,7 +89,7 @@
     }
   }
 
-  const stopWaiting = timers.after(ordersLapseAtMs - timers.nowMs(), onChange)
+  const stopWaiting = timers.after(earlierOrdersExpireAtMs - timers.nowMs(), onChange)
   const stopListening = records.onChange(() => onChange())
   const stop = (): void => {
     stopWaiting()
--- a/packages/agent/src/rights/keepAnnounced.ts
+++ b/packages/agent/src/rights/keepAnnounced.ts
@@ -19,7 +19,7 @@
 export const isAnnounced = ({ records, instance, incarnation }: AgentContext): boolean =>
   records.state().agents.get(instance)?.incarnation === incarnation
 
-const differs = (known: AgentFacts | undefined, facts: EngineFacts, context: AgentContext): boolean =>
+const needsAnnouncement = (known: AgentFacts | undefined, facts: EngineFacts, context: AgentContext): boolean =>
   !isAnnounced(context) || (known?.gone ?? false) || known?.memoryCapacityMb !== facts.memoryCapacityMb || known.enforcesFence !== facts.enforcesFence
 
 /**
@@ -50,7 +50,7 @@
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       const current = facts()
-      if (records.isReady() && current && differs(records.state().agents.get(instance), current, context)) await announce(current)
+      if (records.isReady() && current && needsAnnouncement(records.state().agents.get(instance), current, context)) await announce(current)
       await sleep(timers, RETRY_MS, stopping.signal)
     }
   }
--- a/packages/agent/src/rights/viewRights.ts
+++ b/packages/agent/src/rights/viewRights.ts
@@ -3,7 +3,7 @@
 import type { HeldSlot } from '../loading/types.js'
 import type { HeldKeys, HeldRights } from './types.js'
 
-const isBetter = (slot: HeldSlot, known: HeldSlot | undefined): boolean => {
+const isPreferred = (slot: HeldSlot, known: HeldSlot | undefined): boolean => {
   if (!known) return true
   if (slot.revoked !== known.revoked) return !slot.revoked
   return slot.slotIndex < known.slotIndex
@@ -14,7 +14,7 @@
   state: Pick<AgreedState, 'rights'>,
   instance: InstanceName,
   incarnation: Incarnation,
-  givingUp: boolean
+  releasingAll: boolean
 ): HeldRights => {
   const slots = new Map<ModelId, HeldSlot>()
   const keys = new Map<ModelId, HeldKeys>()
@@ -22,7 +22,7 @@
   for (const right of state.rights.values()) {
     if (right.holder !== instance || right.status === 'free') continue
     const { key, fence } = right
-    const revoked = givingUp || right.status === 'revoked'
+    const revoked = releasingAll || right.status === 'revoked'
     if (revoked) revokedRights.push(right)
     if (key.kind === 'keys') {
       const { keysFromMs } = right
@@ -30,7 +30,7 @@
       continue
     }
     const slot: HeldSlot = { model: key.target, slotIndex: key.slotIndex, fence, revoked }
-    if (isBetter(slot, slots.get(key.target))) slots.set(key.target, slot)
+    if (isPreferred(slot, slots.get(key.target))) slots.set(key.target, slot)
   }
   return { slots, keys, revoked: revokedRights }
 }
--- a/packages/agent/src/running/runOnEngine.ts
+++ b/packages/agent/src/running/runOnEngine.ts
@@ -2,7 +2,7 @@
 import { match } from 'ts-pattern'
 
 import { AgentEvent } from '../events.js'
-import { ENGINE_GONE_MS } from '../engine/constants.js'
+import { MAX_UNREACHABLE_MS } from '../engine/constants.js'
 import { runStream } from '../engine/runStream.js'
 
 import type { EventLog, TimerService } from '@figmount/base'
@@ -27,7 +27,7 @@
     signal,
     incarnation: startedOn,
     // Another run of it may not be tried, so the answer of this one is waited for as long as it is of use.
-    goneMs: request.repeatable ? ENGINE_GONE_MS : Math.max(ENGINE_GONE_MS, attempt.deadlineAtMs - timers.nowMs()),
+    maxUnreachableMs: request.repeatable ? MAX_UNREACHABLE_MS : Math.max(MAX_UNREACHABLE_MS, attempt.deadlineAtMs - timers.nowMs()),
     args: {
       streamId: id,
       model: request.model,
--- a/packages/agent/src/running/runOnPlain.ts
+++ b/packages/agent/src/running/runOnPlain.ts
@@ -1,6 +1,6 @@
 import { FinishReason } from '@figmount/schema'
 
-import { isServiceDown, missingCall } from '../plain/callPlain.js'
+import { isServiceDown, missingCallFault } from '../plain/callPlain.js'
 
 import type { CallPlain } from '../plain/callPlain.js'
 import type { Probe } from '../plain/probeService.js'
@@ -20,7 +20,7 @@
  */
 export const runOnPlain = ({ address, callPlain, probe, incarnation }: Options): RunOnBackend => async (attempt, _version, hooks, signal) => {
   const { plain, repeatable } = attempt.request
-  if (!plain) return { kind: 'notRun', fault: missingCall(address), isBackendDown: false }
+  if (!plain) return { kind: 'notRun', fault: missingCallFault(address), isBackendDown: false }
   const startedOn = incarnation()
   const end = await callPlain({ call: plain, repeatable, signal, onReach: hooks.onReach })
   if (end.kind === 'answered') return { kind: 'finished', finishReason: FinishReason.STOP, plain: end.answer }
--- a/packages/agent/src/suspects/createSuspectBook.ts
+++ b/packages/agent/src/suspects/createSuspectTracker.ts
@@ -1,7 +1,7 @@
 import { judgeSuspect } from '@figmount/records'
 
 import { AgentEvent } from '../events.js'
-import { FAST_DEATH_COUNT, FAST_SUSPICION_COUNT, FAST_SUSPICION_MS } from './constants.js'
+import { MAX_RECENT_DEATHS, MAX_RECENT_SUSPECTS, RECENT_DEATH_KEEP_MS } from './constants.js'
 
 import type { InstanceName } from '@figmount/base'
 import type { SuspectDeath, SuspectVerdict } from '@figmount/records'
@@ -16,7 +16,7 @@
 }
 
 /** A suspicion as it comes from a peer. */
-export interface FastSuspicion extends Suspicion {
+export interface PeerSuspicion extends Suspicion {
   readonly instance: InstanceName
 }
 
@@ -24,15 +24,15 @@
   readonly context: AgentContext
   readonly append: AppendReliably
   /** Tells every router that is connected. */
-  readonly tellRouters: (suspicion: Suspicion) => void
+  readonly notifyRouters: (suspicion: Suspicion) => void
 }
 
 /** What is known of requests that may crash engines. */
-export interface SuspectBook {
+export interface SuspectTracker {
   readonly verdictOf: (attempt: Pick<Attempt, 'request'>) => SuspectVerdict
   readonly reportDeath: (deathId: string, inFlight: readonly Attempt[]) => void
   /** Takes a suspicion from a peer, ahead of the log. */
-  readonly takeFast: (suspicion: FastSuspicion) => void
+  readonly addFromPeer: (suspicion: PeerSuspicion) => void
   /** A request got its answer. */
   readonly clear: (attempt: Attempt) => void
 }
@@ -44,34 +44,34 @@
  * the log hear of it before the request is handed back, so that the next agent already runs it alone. What
  * came over links convicts as the log does, so that an outage of the log costs no third engine.
  */
-export const createSuspectBook = ({ context, append, tellRouters }: Options): SuspectBook => {
+export const createSuspectTracker = ({ context, append, notifyRouters }: Options): SuspectTracker => {
   const { records, events, timers, instance } = context
-  const fast = new Map<string, readonly SuspectDeath[]>()
+  const recentDeaths = new Map<string, readonly SuspectDeath[]>()
 
-  const takeFast = ({ fingerprints, deathId, instance: place }: FastSuspicion): void => {
-    const death: SuspectDeath = { deathId, instance: place, atMs: timers.unixMs(), alone: fingerprints.length === 1 }
+  const addFromPeer = ({ fingerprints, deathId, instance: diedAt }: PeerSuspicion): void => {
+    const death: SuspectDeath = { deathId, instance: diedAt, atMs: timers.unixMs(), alone: fingerprints.length === 1 }
     for (const fingerprint of fingerprints) {
-      const known = fast.get(fingerprint) ?? []
+      const known = recentDeaths.get(fingerprint) ?? []
       if (known.some(earlier => earlier.deathId === deathId)) continue
-      fast.delete(fingerprint)
-      fast.set(fingerprint, [...known, death].slice(-FAST_DEATH_COUNT))
+      recentDeaths.delete(fingerprint)
+      recentDeaths.set(fingerprint, [...known, death].slice(-MAX_RECENT_DEATHS))
     }
-    for (const oldest of fast.keys()) {
-      if (fast.size <= FAST_SUSPICION_COUNT) break
-      fast.delete(oldest)
+    for (const oldest of recentDeaths.keys()) {
+      if (recentDeaths.size <= MAX_RECENT_SUSPECTS) break
+      recentDeaths.delete(oldest)
     }
   }
 
   /** The deaths that the log knows and those that it may not have yet. */
   const deathsOf = (fingerprint: string): readonly SuspectDeath[] => {
     const logged = records.state().suspects.get(fingerprint)?.deaths ?? []
-    const recent = (fast.get(fingerprint) ?? []).filter(({ atMs }) => timers.unixMs() - atMs <= FAST_SUSPICION_MS)
+    const recent = (recentDeaths.get(fingerprint) ?? []).filter(({ atMs }) => timers.unixMs() - atMs <= RECENT_DEATH_KEEP_MS)
     return [...logged, ...recent.filter(({ deathId }) => !logged.some(death => death.deathId === deathId))]
   }
 
   const judge = (fingerprint: string): SuspectVerdict => {
     const state = records.state()
-    if (!fast.has(fingerprint)) return judgeSuspect(state, fingerprint, timers.unixMs())
+    if (!recentDeaths.has(fingerprint)) return judgeSuspect(state, fingerprint, timers.unixMs())
     const suspects = new Map([[fingerprint, { fingerprint, deaths: deathsOf(fingerprint) }]])
     return judgeSuspect({ ...state, suspects }, fingerprint, timers.unixMs())
   }
@@ -85,14 +85,14 @@
       const fingerprints = [...new Set(inFlight.map(({ request }) => request.fingerprint))].filter(fingerprint => fingerprint !== '')
       if (fingerprints.length === 0) return
       events.emit(AgentEvent.suspectsReported, { detail: deathId, count: fingerprints.length })
-      takeFast({ fingerprints, deathId, instance })
-      tellRouters({ fingerprints, deathId })
+      addFromPeer({ fingerprints, deathId, instance })
+      notifyRouters({ fingerprints, deathId })
       append({ kind: 'suspect.add', fingerprints, deathId, instance })
     },
-    takeFast,
+    addFromPeer,
     clear: ({ id, request }) => {
-      const wasFast = fast.delete(request.fingerprint)
-      if (!wasFast && !records.state().suspects.has(request.fingerprint)) return
+      const wasRecent = recentDeaths.delete(request.fingerprint)
+      if (!wasRecent && !records.state().suspects.has(request.fingerprint)) return
       events.emit(AgentEvent.suspectCleared, { attemptId: id, caller: request.caller, requestKey: request.requestKey, model: request.model })
       append({ kind: 'suspect.clear', fingerprint: request.fingerprint })
     }
--- a/packages/agent/src/testing/createFakeLog.ts
+++ b/packages/agent/src/testing/createFakeLog.ts
@@ -14,9 +14,9 @@
   /** Whether the log can be reached. */
   isUp: boolean
   /** Lets clients read no further for now; what is written is folded all the same. */
-  readonly holdBack: () => void
+  readonly pauseReads: () => void
   /** Lets clients read on. */
-  readonly readOn: () => void
+  readonly resumeReads: () => void
   readonly clientOf: (instance: InstanceName, incarnation: Incarnation) => RecordsClient
 }
 
@@ -27,9 +27,9 @@
   const records: LogRecord[] = []
   const listeners = new Set<(records: readonly PlacedRecord[], state: AgreedState) => void>()
 
-  let late: { readonly seen: AgreedState, readonly missed: PlacedRecord[] } | undefined
+  let paused: { readonly seen: AgreedState, readonly missed: PlacedRecord[] } | undefined
 
-  const tell = (placed: readonly PlacedRecord[]): void => { for (const listen of listeners) listen(placed, state) }
+  const notify = (placed: readonly PlacedRecord[]): void => { for (const listen of listeners) listen(placed, state) }
 
   const place = (record: LogRecord): { readonly outcome: FoldOutcome, readonly offset: LogOffset } => {
     const offset = state.nextOffset
@@ -37,8 +37,8 @@
     const folded = applyRecord(state, placed)
     state = folded.state
     records.push(record)
-    if (late) late.missed.push(placed)
-    else tell([placed])
+    if (paused) paused.missed.push(placed)
+    else notify([placed])
     return { outcome: folded.outcome, offset }
   }
 
@@ -47,11 +47,11 @@
 
   const log: FakeLog = {
     isUp: true,
-    holdBack: () => { late ??= { seen: state, missed: [] } },
-    readOn: () => {
-      const missed = late?.missed ?? []
-      late = undefined
-      if (missed.length > 0) tell(missed)
+    pauseReads: () => { paused ??= { seen: state, missed: [] } },
+    resumeReads: () => {
+      const missed = paused?.missed ?? []
+      paused = undefined
+      if (missed.length > 0) notify(missed)
     },
     records,
     state: () => state,
@@ -62,7 +62,7 @@
       confirm()
       const stop = timers.every(100, confirm)
       return {
-        state: () => late?.seen ?? state,
+        state: () => paused?.seen ?? state,
         confirmedAtMs: () => confirmedAtMs,
         isReady: () => true,
         onChange: listen => {
--- a/packages/agent/src/testing/startAgentForTest.ts
+++ b/packages/agent/src/testing/startAgentForTest.ts
@@ -29,7 +29,7 @@
 /** A router's end of a link. */
 export interface FakeRouter {
   readonly send: (message: RouterToAgentMessage) => void
-  readonly heard: readonly AgentToRouterMessage[]
+  readonly received: readonly AgentToRouterMessage[]
   readonly cut: () => void
   readonly tokensOf: (id: string) => readonly string[]
   readonly finalOf: (id: string) => Extract<AgentToRouterMessage, { type: 'final' }> | undefined
@@ -68,23 +68,23 @@
 
 const connectTo = (agent: Agent, timers: VirtualTimers, peer: string): FakeRouter => {
   const inbox = createInbox<RouterToAgentMessage>()
-  const heard: AgentToRouterMessage[] = []
+  const received: AgentToRouterMessage[] = []
   let isOpen = true
   const cut = (): void => {
     isOpen = false
     inbox.end()
   }
   const link: Link<AgentToRouterMessage, RouterToAgentMessage> = {
-    peer, send: message => { if (isOpen) heard.push(message) }, sendPacked: ({ body }) => { if (isOpen) heard.push(body) }, received: inbox.values, close: cut, isOpen: () => isOpen, bufferedBytes: () => 0, lastReceivedMs: timers.nowMs
+    peer, send: message => { if (isOpen) received.push(message) }, sendPacked: ({ body }) => { if (isOpen) received.push(body) }, received: inbox.values, close: cut, isOpen: () => isOpen, bufferedBytes: () => 0, lastReceivedMs: timers.nowMs
   }
   agent.runLink(link).catch(error => { throw error })
   return {
     send: inbox.push,
-    heard,
+    received,
     cut,
-    tokensOf: id => heard.flatMap(message => message.type === 'tokens' && message.attemptId === id ? message.tokens : []),
-    finalOf: id => heard.find((message): message is Extract<AgentToRouterMessage, { type: 'final' }> => message.type === 'final' && message.attemptId === id),
-    refusalOf: id => heard.find((message): message is Extract<AgentToRouterMessage, { type: 'refused' }> => message.type === 'refused' && message.attemptId === id)?.refusal,
+    tokensOf: id => received.flatMap(message => message.type === 'tokens' && message.attemptId === id ? message.tokens : []),
+    finalOf: id => received.find((message): message is Extract<AgentToRouterMessage, { type: 'final' }> => message.type === 'final' && message.attemptId === id),
+    refusalOf: id => received.find((message): message is Extract<AgentToRouterMessage, { type: 'refused' }> => message.type === 'refused' && message.attemptId === id)?.refusal,
     start: (id, request = {}, permit) => inbox.push({ type: 'start', attemptId: id as AttemptId, request: aRequest(timers.unixMs(), request), ...(permit ? { permit } : {}) })
   }
 }
