--- a/packages/agent/src/loading/createLoader.ts
+++ b/packages/agent/src/loading/createLoader.ts
@@ -26,7 +26,7 @@
 
 export type PlanInputs = Omit<PlanView, 'state' | 'nowMs'>
 
-/** The models of one engine: plans orders, follows them to their end and keeps the ledger. */
+/** Manages the models of one engine: plans orders, follows them to their result and keeps the memory ledger. */
 export interface Loader {
   readonly state: () => EngineState
   readonly plan: (inputs: PlanInputs) => void
@@ -57,7 +57,7 @@
   unloadAdapter: AgentEvent.adapterUnloadFailed
 } as const
 
-/** Makes the loader of one engine. */
+/** Creates the loader of one engine. */
 export const createLoader = ({ engine, timers, events, kvCacheMb, backOffLoad, random, onChange }: Options): Loader => {
   let state: EngineState = { slots: new Map(), ledger: emptyLedger(0, kvCacheMb), store: noBackoff, typicalLoadMs: 0 }
   let lastInputs: PlanInputs | undefined
@@ -93,12 +93,12 @@
       highestPriority: demand?.highestPriority ?? 0,
       refusedCount: state.store.failureCount,
       waitedMs: demand ? nowMs - demand.askedAtMs : 0,
-      // An assumption must not hold a load back for longer than the load may take.
+      // An assumed duration must not delay the load for longer than the load itself may take.
       loadMs: state.typicalLoadMs > 0 ? expectedLoadMs(state, slot) : UNMEASURED_LOAD_MS
     }
     const waitMs = backOffLoad(view, random)
-    // Guards against a load that nobody urgently waits for holding back those that many wait for: the
-    // length of the pause is one model's; the agent as a whole only spaces out its asks.
+    // Only this model gets the full backoff, so that a load with little demand does not delay loads that many requests
+    // wait for. All loads of the agent together are only spaced apart.
     state = delayLoad({ ...state, store: delayStoreLoads(state.store, STORE_SPACING_MS, nowMs) }, order.model, nowMs + waitMs)
     events.emit(AgentEvent.storeBackedOff, { model: order.model, count: view.waitingCount, waitMs: Math.round(waitMs) })
   }
@@ -132,7 +132,7 @@
     state: () => state,
     plan: inputs => {
       lastInputs = inputs
-      // While the engine holds more than fits nothing is loaded; what has to go is still unloaded.
+      // While the engine holds more than fits, nothing is loaded; necessary unloads are still ordered.
       const mayLoad = inputs.mayLoad && !isOvercommitted(state)
       const plan = planOrders({ ...inputs, mayLoad, state, nowMs: timers.nowMs() })
       state = plan.state
--- a/packages/agent/src/loading/followOrder.ts
+++ b/packages/agent/src/loading/followOrder.ts
@@ -19,18 +19,18 @@
   readonly signal: AbortSignal
 }
 
-/** Faults by which the engine itself says that it has refused the order. */
+/** Fault kinds with which the engine itself refuses an order. */
 const REFUSAL_KINDS: readonly FaultKind[] = [
   FaultKind.Invalid, FaultKind.NotFound, FaultKind.Conflict, FaultKind.Exhausted, FaultKind.Unauthenticated
 ]
 
-/** What is known of the call that carries an order. */
+/** State of the call that carries an order. */
 type CallState =
   | { readonly kind: 'pending' }
   | { readonly kind: 'done', readonly tookMs: number }
-  /** The engine itself has refused it. */
+  /** The engine refused the order. */
   | { readonly kind: 'refused', readonly fault: Fault }
-  /** It broke; the order may have arrived. `isGone`: no process is left that can have got it. */
+  /** The call failed and the order may have arrived. `isEngineGone`: the process that may have received it has ended. */
   | { readonly kind: 'broken', readonly isEngineGone: boolean }
 
 const sendOrder = async ({ engine, events, order, signal }: Options): Promise<CallState> => {
@@ -52,14 +52,14 @@
   return { kind: 'notDone', reason: call.fault.message, isStoreFull: call.fault.kind === FaultKind.Exhausted, inventory }
 }
 
-/** True when no effect in an inventory proves that there will be none. */
+/** True if an inventory without the order's effect proves that the order will have none. */
 const isFinal = (call: CallState): boolean => call.kind === 'refused' || (call.kind === 'broken' && call.isEngineGone)
 
 /**
- * Sends an order and finds out what became of it; resolves only with the truth, or undefined when `signal` aborts.
- * While the answer is out, the inventory is asked too: a connection that goes silent during a long load would
- * otherwise hide for ever that the model is ready. A refusal is checked against the inventory as well,
- * because the engine refuses an order that doubles one which took effect.
+ * Sends an order and determines its result; resolves only with a confirmed result, or undefined when `signal` aborts.
+ * The inventory is also read while the answer is pending: if the connection goes silent during a long load, the agent
+ * would otherwise never learn that the model is ready. A refusal is checked against the inventory as well, because
+ * the engine refuses a duplicate of an order that took effect.
  */
 export const followOrder = async (options: Options): Promise<OrderOutcome | undefined> => {
   const { engine, timers, order, shouldSend, signal } = options
@@ -93,7 +93,7 @@
       if (current.kind === 'done') return current
       const inventory = inventoryResult.toMaybe().extract()
       if (!inventory) {
-        // Nothing listens: the process that may have got the order has ended, and its call with it.
+        // Connection refused: the process that may have received the order has ended, and the call with it.
         if (known.kind === 'broken' && inventoryResult.swap().map(isConnectFailure).orDefault(false)) call = { kind: 'broken', isEngineGone: true }
         continue
       }
--- a/packages/agent/src/loading/judgeOrder.ts
+++ b/packages/agent/src/loading/judgeOrder.ts
@@ -4,7 +4,7 @@
 
 import type { EngineOrder, Inventory } from '../engine/types.js'
 
-/** What an inventory tells of an order. */
+/** The state of an order according to an inventory. */
 export type OrderJudgement = 'done' | 'notDone' | 'open'
 
 const judgeAbsence = (order: EngineOrder, inventory: Inventory): OrderJudgement => {
@@ -25,11 +25,11 @@
 }
 
 /**
- * Judges an order by an inventory that was asked for at `askedAtMs`.
+ * Evaluates an order against an inventory requested at `askedAtMs`.
  *
- * Guards against an order whose answer was lost or is late: taken as failed, its memory would be given away
- * while the engine still loads. That the engine shows no effect counts only after the order's own
- * deadline, from which on the engine must not start it, and time for its way there.
+ * The answer to an order can be lost or late. If the order were treated as failed, its memory would be reserved for
+ * another model while the engine still loads. A missing effect therefore counts only after the order's own deadline,
+ * past which the engine must not start it, plus the transfer time.
  */
 export const judgeOrder = (order: EngineOrder, sentAtMs: number, inventory: Inventory, askedAtMs: number): OrderJudgement => {
   const judged = judgeAbsence(order, inventory)
--- a/packages/agent/src/loading/loading.test.ts
+++ b/packages/agent/src/loading/loading.test.ts
@@ -17,9 +17,9 @@
 }
 
 describe('loading', () => {
-  // The agent is killed and started again while its engine goes on. Loaded or unloaded anew, the
-  // model would be cold for its callers though nothing happened to it.
-  it('keeps over a restart what it holds a right for', async () => {
+  // The agent is killed and restarted while its engine keeps running. If the model were loaded or unloaded again, it
+  // would be cold for its callers although it was never lost.
+  it('keeps models that it has a right for loaded over a restart', async () => {
     const under = await startAgentForTest()
     under.grant(replicaOf(MODEL))
     under.connect().start('a')
@@ -32,9 +32,9 @@
     expect(kinds(again)).to.deep.equal([`load ${MODEL}`])
   })
 
-  // The log is down, and an agent is killed and started again beside an engine that holds its model.
-  // It cannot be named by the log, and its callers would be refused until the outage ends.
-  it('serves what its engine holds after a restart while the log is down, and loads nothing', async () => {
+  // The log is down, and an agent is killed and restarted beside an engine that holds its model. The agent cannot be
+  // announced in the log, and its callers would be refused until the outage ends.
+  it('serves the loaded models after a restart while the log is down, and loads nothing', async () => {
     const cold = 'reader/cold' as ModelId
     const under = await startAgentForTest({ models: [modelSpec('m'), modelSpec('cold')] })
     under.grant(replicaOf(MODEL))
@@ -54,9 +54,9 @@
     expect(kinds(again)).to.deep.equal([`load ${MODEL}`])
   })
 
-  // The agent dies in the middle of a load. Its next run finds the engine loading; without
-  // counting that, it would order a second load or give the memory away.
-  it('takes over a load that an earlier run ordered', async () => {
+  // The agent dies during a load. Its next run finds the engine loading; if it did not count that load, it would order
+  // a second one or reserve the memory for another model.
+  it('follows a load that an earlier run ordered', async () => {
     const under = await startAgentForTest()
     under.engine.knobs.loadMs = 2_000
     under.grant(replicaOf(MODEL))
@@ -71,9 +71,8 @@
     expect(kinds(again)).to.deep.equal([`load ${MODEL}`])
   })
 
-  // The engine loads, but its answer is lost. A caller would wait until its deadline for a
-  // model that has been ready all along.
-  it('finds a load whose answer was lost', async () => {
+  // The engine loads the model but its answer is lost. A caller would wait until its deadline for a model that is ready.
+  it('detects a load whose answer was lost', async () => {
     const under = await startAgentForTest()
     under.engine.knobs.fateOf = () => 'lose'
     under.grant(replicaOf(MODEL))
@@ -84,9 +83,9 @@
     expect(kinds(under)).to.deep.equal([`load ${MODEL}`])
   })
 
-  // The order never reaches the engine. Given up too early, its memory could be promised to
-  // another model while the order is still under way; given up never, the model stays cold.
-  it('orders again after an order was lost, not before its deadline', async () => {
+  // The order never reaches the engine. Abandoned too early, its memory could be reserved for another model while the
+  // order is still in transit; never abandoned, the model would stay cold.
+  it('repeats a lost order, but not before its deadline', async () => {
     const under = await startAgentForTest()
     let count = 0
     under.engine.knobs.fateOf = () => count++ === 0 ? 'drop' : 'answer'
@@ -101,9 +100,9 @@
     expect(kinds(under)).to.have.length(2)
   })
 
-  // The engine dies in the middle of a load and comes back empty a second later. Waiting for the
-  // order's deadline would keep callers from a model that nobody is loading.
-  it('orders again at once after the engine died in the middle', async () => {
+  // The engine dies during a load and is back, empty, a second later. Waiting for the order's deadline would delay
+  // callers although no load is running.
+  it('repeats an order at once after the engine died during it', async () => {
     const under = await startAgentForTest()
     under.engine.knobs.loadMs = 1_000
     under.grant(replicaOf(MODEL))
@@ -131,8 +130,8 @@
     expect(waits).to.deep.equal([500, 1000, 2000])
   })
 
-  // An operator changes the version while the old one runs. Loaded beside the old one, it
-  // would exceed the replicas decided; unloaded at once, it would cut the running request.
+  // An operator changes the version while the old one runs. Loaded beside the old version, the new one would exceed the
+  // configured replicas; unloaded at once, the old one would interrupt the running request.
   it('unloads the old version before it loads the new one', async () => {
     const under = await startAgentForTest()
     under.grant(replicaOf(MODEL))
@@ -179,7 +178,7 @@
     expect(router.finalOf('b')?.tokenCount).to.equal(200)
   })
 
-  it('unloads a model that has been idle for long', async () => {
+  it('unloads a model that has been idle for a long time', async () => {
     const under = await startAgentForTest({ decisions: { keepAlive: view => 1_000 - view.idleMs } })
     under.grant(replicaOf(MODEL))
     under.connect().start('a')
@@ -190,9 +189,9 @@
     expect(under.events(AgentEvent.unloadConfirmed.name)[0]).to.include({ memoryMb: 0, memoryCapacityMb: 1_000 })
   })
 
-  // A model with a quick reload and no history is asked once a second. Unloaded by its history
-  // after each answer, every caller would meet a cold start.
-  it('keeps a model that is used again and again', async () => {
+  // A model with a short reload time and no history is used once a second. If it were unloaded after each answer, every
+  // caller would wait for a cold start.
+  it('keeps a model that is used repeatedly', async () => {
     const under = await startAgentForTest({ decisions: { keepAlive: keepByHistory } })
     under.grant(replicaOf(MODEL))
     const router = under.connect()
@@ -217,9 +216,9 @@
     expect(under.agent.report().models[0]?.adapters).to.deep.equal(['salt'])
   })
 
-  // Operators revoke a right while its model runs. Released before the unload is confirmed,
-  // the next holder would load a replica too many.
-  it('releases a revoked right after the unload, when nothing runs', async () => {
+  // An operator revokes a right while its model runs. If the right were released before the unload is confirmed, the
+  // next holder would load one replica too many.
+  it('releases a revoked right after its runs have ended and the model is unloaded', async () => {
     const under = await startAgentForTest()
     const fence = under.grant(replicaOf(MODEL))
     const router = under.connect()
@@ -236,10 +235,10 @@
     expect(statusOf()).to.equal('free')
   })
 
-  // An agent orders a load and restarts; the order is still on its way to the engine, which shows
-  // nothing loaded. If the restarted agent gave the right back at once, the next holder would load
-  // the model and then the late order would load it here, too.
-  it('gives nothing back while an order of an earlier run may be on its way', async () => {
+  // An agent orders a load and restarts while the order is still in transit, so the engine shows nothing loaded. If the
+  // restarted agent released the right at once, the next holder would load the model, and then the late order would load
+  // it here as well.
+  it('releases no right while an order of an earlier run may be in transit', async () => {
     const under = await startAgentForTest()
     const fence = under.grant(replicaOf(MODEL))
     await under.advance(200)
@@ -253,9 +252,9 @@
     expect(statusOf()).to.equal('free')
   })
 
-  // An operator lowers the greatest number of replicas. Kept loaded until its right is revoked,
-  // the model would have a replica too many for that long.
-  it('unloads above a lowered bound', async () => {
+  // An operator lowers the maximum number of replicas. If the model stayed loaded until its right is revoked, there would
+  // be one replica too many until then.
+  it('unloads a replica above a lowered maximum', async () => {
     const under = await startAgentForTest()
     under.grant(replicaOf(MODEL, 1))
     const router = under.connect()
@@ -268,7 +267,7 @@
     expect(router.refusalOf('b')?.detail).to.contain('no right')
   })
 
-  it('unloads an adapter that the configuration no longer has', async () => {
+  it('unloads an adapter that was removed from the configuration', async () => {
     const adapters = [{ name: 'salt', memoryMb: 50 }]
     const under = await startAgentForTest({ models: [modelSpec('m', { adapters })] })
     under.grant(replicaOf(MODEL))
--- a/packages/agent/src/loading/planOrders.ts
+++ b/packages/agent/src/loading/planOrders.ts
@@ -10,15 +10,15 @@
 import type { EngineOrder } from '../engine/types.js'
 import type { Demand, EngineState, HeldSlot, ModelPlan, Slot } from './types.js'
 
-/** What the next orders are chosen from. */
+/** Inputs for planning the next orders. */
 export interface PlanView {
   readonly state: EngineState
   readonly nowMs: number
   readonly rights: ReadonlyMap<ModelId, HeldSlot>
   readonly demands: ReadonlyMap<ModelId, Demand>
-  /** The model as configured; undefined when it is not. */
+  /** Configuration of a model; undefined if it is not configured. */
   readonly planOf: (model: ModelId) => ModelPlan | undefined
-  /** False while the agent's authority is in doubt. */
+  /** False while the agent may not act on its rights. */
   readonly mayLoad: boolean
   readonly draining: boolean
   readonly maxStoreLoads: number
@@ -27,7 +27,7 @@
   readonly orderLoads: OrderLoads
 }
 
-/** Orders to send and the state with their reservations made. */
+/** Orders to send, and the state with their reservations. */
 export interface OrderPlan {
   readonly orders: readonly EngineOrder[]
   readonly state: EngineState
@@ -36,7 +36,7 @@
 const makeUnload = (slot: Slot, right: HeldSlot | undefined): EngineOrder =>
   ({ kind: 'unload', model: slot.model, fence: Math.max(slot.fence, right?.fence ?? 0) })
 
-/** False for a slot above a bound that the configuration has lowered since its grant. */
+/** False if the configuration lowered `maxReplicas` below this slot after the grant. */
 const isWithinMaxReplicas = (right: HeldSlot, { spec }: ModelPlan): boolean => right.slotIndex < spec.maxReplicas
 
 const isPinned = (view: PlanView, model: ModelId): boolean => {
@@ -45,7 +45,7 @@
   return right !== undefined && !right.revoked && plan !== undefined && right.slotIndex < plan.spec.minReplicas
 }
 
-/** Share of the memory that models which are waited for would take if they could. */
+/** Fraction of the memory that cold models with waiting requests need. */
 const memoryPressureOf = (view: PlanView): number => {
   let wantedMb = 0
   for (const [model, demand] of view.demands) {
@@ -56,20 +56,20 @@
 }
 
 /**
- * Guards against a load for nothing: callers that were refused while the model loaded have not come back yet,
- * and keep-alive, which counts from the last use, would unload it in the moment in which it gets ready.
+ * True for a model that was loaded recently and not used yet. Callers that were refused during the load have not
+ * retried yet, and keep-alive, which counts from the last use, would unload the model as soon as it is ready.
  */
 const isUnusedSinceLoad = (slot: Slot, nowMs: number): boolean =>
   slot.lastUsedMs <= slot.orderedAtMs && nowMs - slot.changedAtMs < UNUSED_KEEP_MS
 
-/** True when a resident model has to go for another reason than space. */
+/** True if a loaded model has to be unloaded for a reason other than memory. */
 const shouldUnload = (view: PlanView, slot: Slot): boolean => {
   const demand = view.demands.get(slot.model)
   if ((demand?.runningCount ?? 0) > 0) return false
   const right = view.rights.get(slot.model)
   const plan = view.planOf(slot.model)
   if (!right || right.revoked || !plan || !isWithinMaxReplicas(right, plan)) return true
-  // One replica is one version: the old one is unloaded before the new one is loaded.
+  // A replica has one version: the old version is unloaded before the new one is loaded.
   const isWaitedFor = (demand?.waitingCount ?? 0) > 0
   if (slot.version !== (isWaitedFor && demand ? demand.version : plan.spec.currentVersion)) return true
   if (isWaitedFor || isPinned(view, slot.model)) return false
@@ -77,7 +77,7 @@
   return view.keepAlive(viewIdle(view.state, slot, plan, memoryPressureOf(view), view.nowMs)) <= 0
 }
 
-/** Adapters that the configuration no longer has, or no longer for this slot. */
+/** Unloads adapters that the configuration has removed or no longer allows in this slot. */
 const adapterUnloads = (view: PlanView, slot: Slot): readonly EngineOrder[] => {
   const right = view.rights.get(slot.model)
   const plan = view.planOf(slot.model)
@@ -133,7 +133,7 @@
   return { kind: 'unloadAdapter', model: victim.model, adapter: victim.adapter, fence: Math.max(slot.fence, right?.fence ?? 0) }
 }
 
-/** Memory that open unloads will free. */
+/** Memory that open unload orders will free. */
 const unloadingMb = (state: EngineState): number => {
   let sumMb = 0
   for (const slot of state.slots.values()) {
@@ -145,7 +145,7 @@
   return sumMb
 }
 
-/** Orders that make room for `neededMb` more; undefined when that cannot be had now. */
+/** Unload orders that free `neededMb`; undefined if that is not possible now. */
 const planEvictions = (view: PlanView, state: EngineState, neededMb: number): readonly EngineOrder[] | undefined => {
   const missingMb = neededMb - freeMb(state.ledger) - unloadingMb(state)
   if (missingMb <= 0) return []
@@ -154,7 +154,7 @@
   })
   const victims = view.chooseVictims(residents, missingMb)
   const models = new Set(victims?.filter(({ adapter }) => adapter === '').map(({ model }) => model))
-  // The adapters of a model go with it, without orders of their own.
+  // Unloading a model also unloads its adapters, so they need no orders of their own.
   return victims?.filter(({ model, adapter }) => adapter === '' || !models.has(model)).map(victim => victimOrder(view, victim))
 }
 
@@ -194,9 +194,9 @@
 }
 
 /**
- * Chooses the next orders to the engine: what must be unloaded, then loads in the order that `orderLoads` gives, as
- * far as memory goes, with unloads that make room for the first that does not fit. Every order in the plan is
- * opened in the returned state, so that its memory is reserved before it leaves.
+ * Plans the next orders to the engine: necessary unloads first, then loads in the order of `orderLoads` as far as memory
+ * allows, then unloads that free memory for the first load that does not fit. The returned state has every order of the
+ * plan open, so that its memory is reserved before the order is sent.
  */
 export const planOrders = (view: PlanView): OrderPlan => {
   let state = view.state
@@ -223,7 +223,7 @@
     const victims = planEvictions(view, state, neededMb)
     if (!victims) continue
     for (const victim of victims) open(victim)
-    // What is freed belongs to this load: a smaller one behind it would take the room away again and again.
+    // The freed memory is reserved for this load: smaller loads behind it would otherwise keep taking it.
     break
   }
   return { orders, state }
--- a/packages/agent/src/loading/slots.ts
+++ b/packages/agent/src/loading/slots.ts
@@ -7,7 +7,7 @@
 import type { Ledger } from '../memory/types.js'
 import type { AdapterSlot, EngineState, OrderOutcome, Slot } from './types.js'
 
-/** A model of which nothing is on the engine. */
+/** A slot without a loaded model. */
 export const coldSlot = (model: ModelId): Slot => ({
   model,
   phase: 'cold',
@@ -37,7 +37,7 @@
 const dropAdapter = (slot: Slot, name: string): Slot =>
   ({ ...slot, adapters: new Map([...slot.adapters].filter(([adapter]) => adapter !== name)) })
 
-/** Opens an order and reserves what it needs; undefined when it does not fit or another is open. */
+/** Opens an order and reserves its memory; undefined if the memory does not fit or another order is open. */
 export const openOrder = (state: EngineState, order: EngineOrder, nowMs: number): EngineState | undefined => {
   const slot = findSlot(state, order.model)
   if (slot.openOrder) return undefined
@@ -88,7 +88,7 @@
         return putSlot({ ...state, typicalLoadMs }, ready)
       }
       const cold = toCold(slot)
-      // A full weight store says nothing against this model: the store's own pace holds it back.
+      // A full weight store is no failure of this model; the store's own backoff delays the next load.
       const failed = outcome.isStoreFull ? { ...cold, lastFailure: outcome.reason } : afterFailure(cold, outcome.reason, nowMs)
       return putSlot(state, failed, release(state.ledger, order.model, ''))
     }
@@ -124,7 +124,7 @@
   ]))
 })
 
-/** An engine that was found loading has an order in hand from before a restart of the agent; it is followed like an own one. */
+/** Opens an order for a load that an earlier run of the agent ordered and that is still running on the engine. */
 const followLoad = (slot: Slot, nowMs: number): Slot => {
   if (slot.phase !== 'loading') return slot
   const { model, fence, version, memoryMb } = slot
@@ -138,9 +138,9 @@
 }
 
 /**
- * Brings slots and ledger in line with an inventory. Slots with an open order keep their reservation: the order may
- * take effect after the inventory was taken. `sentAtMs` is when the inventory was asked for: a slot whose
- * order was closed later is left alone, as the answer may be older than that.
+ * Updates slots and ledger from an inventory. Slots with an open order keep their reservation, because the order may
+ * take effect after the inventory was taken. `sentAtMs` is when the inventory was requested: a slot whose order was
+ * closed later is skipped, because the inventory may be older than that.
  */
 export const reconcile = (state: EngineState, inventory: Inventory, sentAtMs: number, nowMs: number): EngineState => {
   const models = new Set([
@@ -167,7 +167,7 @@
   return next
 }
 
-/** Closes the open order of a model with what became of it; after a failure the model is taken from the inventory that showed it. */
+/** Closes a model's open order with its outcome; after a failure the slot is updated from the inventory that proved it. */
 export const closeOrder = (state: EngineState, order: EngineOrder, outcome: OrderOutcome, nowMs: number): EngineState => {
   const closed = applyOutcome(state, order, outcome, nowMs)
   if (outcome.kind === 'done') return closed
@@ -175,7 +175,7 @@
   return reconcileModels(closed, { ...outcome.inventory, residents }, [order.model], nowMs, nowMs)
 }
 
-/** Notes that a model or adapter is used; `wasIdle`: nothing ran on it before, so that a gap ends. */
+/** Records a use of a model or adapter. If `wasIdle`, no other run used the model before and an idle gap ends. */
 export const recordUse = (state: EngineState, model: ModelId, adapter: string, wasIdle: boolean, nowMs: number): EngineState => {
   const slot = findSlot(state, model)
   const isGap = wasIdle && slot.lastUsedMs > 0
@@ -188,20 +188,20 @@
 /** Time since a model was last used or changed. */
 export const idleForMs = (slot: Slot, nowMs: number): number => Math.max(0, nowMs - Math.max(slot.lastUsedMs, slot.changedAtMs))
 
-/** Expected time of a load: the model's own, else that of other models from the weight store, else an assumption. */
+/** Expected duration of a load: measured for the model, else for other models from the weight store, else assumed. */
 export const expectedLoadMs = (state: Pick<EngineState, 'typicalLoadMs'>, slot: Slot): number => {
   if (slot.loadMs > 0) return slot.loadMs
   if (slot.tier === 'remote' && state.typicalLoadMs > 0) return state.typicalLoadMs
   return ASSUMED_LOAD_MS[slot.tier]
 }
 
-/** Holds back the load of one model that the weight store turned away; loads of others ask for themselves. */
+/** Delays the load of one model that the weight store refused; other models are not affected. */
 export const delayLoad = (state: EngineState, model: ModelId, untilMs: number): EngineState => {
   const slot = findSlot(state, model)
   return putSlot(state, { ...slot, notBeforeMs: Math.max(slot.notBeforeMs, untilMs) })
 }
 
-/** Expected time until a model can serve; 0 when it can. */
+/** Expected time until a model can serve; 0 if it is ready. */
 export const readyInMs = (state: EngineState, slot: Slot, nowMs: number): number => {
   if (slot.phase === 'ready') return 0
   const loadMs = expectedLoadMs(state, slot)
@@ -210,5 +210,5 @@
   return Math.max(0, heldBackMs - nowMs) + loadMs
 }
 
-/** True when the engine was found to hold more than fits. */
+/** True if the engine's inventory exceeds its capacity. */
 export const isOvercommitted = (state: EngineState): boolean => freeMb(state.ledger) < 0
--- a/packages/agent/src/loading/storePace.ts
+++ b/packages/agent/src/loading/storePace.ts
@@ -1,11 +1,11 @@
 import type { StoreBackoff } from './types.js'
 
-/** A store that has not refused lately. */
+/** The state while the store has refused no recent load. */
 export const noBackoff: StoreBackoff = { notBeforeMs: 0, failureCount: 0 }
 
-/** Holds back loads from the weight store after it refused one; how long is a decision of its own. */
+/** Delays loads from the weight store by `pauseMs` after it refused one. */
 export const delayStoreLoads = (backoff: StoreBackoff, pauseMs: number, nowMs: number): StoreBackoff =>
   ({ failureCount: backoff.failureCount + 1, notBeforeMs: nowMs + pauseMs })
 
-/** A load from the store went through. */
+/** Reduces the failure count after a successful load from the store. */
 export const afterStoreLoad = (backoff: StoreBackoff): StoreBackoff => ({ ...backoff, failureCount: Math.max(0, backoff.failureCount - 1) })
