--- a/packages/agent/src/engine/createEngineClient.ts
+++ b/packages/agent/src/engine/createEngineClient.ts
@@ -51,8 +51,8 @@
   createClient(Engine, createConnectTransport({ baseUrl: `http://${address}`, httpVersion: '1.1', useBinaryFormat: true, nodeOptions: { agent } }))
 
 /**
- * Talks to one engine. Generations share pooled connections; orders, questions and resumed streams get
- * a connection each, because a pooled one may be the very connection that has gone silent.
+ * Creates the client of one engine. Generations share pooled connections; orders, inventory requests and resumed streams
+ * use a new connection each, because a pooled one may be the connection that went silent.
  */
 export const createEngineClient = (address: string): EngineClient => {
   const pooled = makeClient(address, new Agent({ keepAlive: true, timeout: IDLE_CONNECTION_MS }))
--- a/packages/agent/src/engine/createEngineWatch.ts
+++ b/packages/agent/src/engine/createEngineWatch.ts
@@ -9,17 +9,17 @@
   readonly engine: EngineClient
   readonly timers: TimerService
   readonly events: EventLog
-  /** Called with each inventory and when it was asked for. */
+  /** Called with each inventory and the time at which it was requested. */
   readonly onInventory: (inventory: Inventory, askedAtMs: number) => void
   /** Called once for each incarnation of the engine that has ended. */
   readonly onDeath: (incarnation: string) => void
   readonly onChange: () => void
 }
 
-/** What is known of the engine as a process. */
+/** The state of the engine process as last observed. */
 export interface EngineWatch {
   readonly isUp: () => boolean
-  /** The last inventory, undefined before the first. */
+  /** The last inventory; undefined before the first. */
   readonly last: () => Inventory | undefined
   readonly reportDeath: (incarnation: string) => void
   readonly reportFault: (fault: Fault) => void
@@ -28,10 +28,10 @@
 }
 
 /**
- * Asks the engine at intervals what it holds.
+ * Reads the engine's inventory at intervals.
  *
- * Guards against an engine that ends and starts anew unnoticed: the agent would go on believing that models are
- * loaded. It shows as another incarnation in the inventory.
+ * Without it, a restart of the engine could go unnoticed and the agent would assume that its models are still loaded.
+ * A restart shows as a new incarnation in the inventory.
  */
 export const createEngineWatch = ({ engine, timers, events, onInventory, onDeath, onChange }: Options): EngineWatch => {
   let last: Inventory | undefined
--- a/packages/agent/src/engine/engine.test.ts
+++ b/packages/agent/src/engine/engine.test.ts
@@ -20,7 +20,7 @@
 const whole = (count: number): readonly string[] => Array.from({ length: count }, (_unused, index) => `wall.${index}`)
 
 describe('engine', () => {
-  it('tells its own answers from broken connections', () => {
+  it('distinguishes the answers of an engine from broken connections', () => {
     const reset = new ConnectError('socket hang up', Code.Aborted, undefined, undefined, Object.assign(new Error('x'), { code: 'ECONNRESET' }))
     const refusal = new ConnectError('connect ECONNREFUSED 1', Code.Unavailable, undefined, undefined, Object.assign(new Error('x'), { code: 'ECONNREFUSED' }))
     const cut = new ConnectError('protocol error: missing EndStreamResponse', Code.InvalidArgument)
@@ -31,9 +31,9 @@
     expect(engineFault('s', 'p')(cut).kind).to.equal('unavailable')
   })
 
-  // Something between agent and engine forgets the connection of a stream. Nothing is closed,
-  // so the caller would wait until its deadline though the engine goes on.
-  it('streams go on over a new connection after silence', async () => {
+  // A device between agent and engine drops a stream's connection without closing it. The caller would wait until its
+  // deadline although the engine keeps generating.
+  it('resumes a stream over a new connection after silence', async () => {
     const { under, router } = await running(400)
     under.engine.knobs.silenceOpen()
     await under.advance(4_000)
@@ -43,7 +43,7 @@
     expect(under.engine.runs).to.have.length(1)
   })
 
-  it('tokens repeated after a resume are dropped', async () => {
+  it('drops tokens that are repeated after a resume', async () => {
     const { under, router } = await running(400)
     under.engine.knobs.repeatOnResume = 3
     under.engine.knobs.silenceOpen()
@@ -51,9 +51,9 @@
     expect(router.tokensOf('a')).to.deep.equal(whole(400))
   })
 
-  // The engine process ends and starts anew while requests run. Believed to be loaded still,
-  // the model would fail every request; the router must hear at once what it can start elsewhere.
-  it('death hands running requests back and loads anew', async () => {
+  // The engine process restarts while requests run. If the agent assumed that the model is still loaded, every request
+  // would fail; the router must learn at once which requests it can start elsewhere.
+  it('refuses running requests when the engine dies, and loads their model again', async () => {
     const { under, router } = await running()
     router.start('once', { repeatable: false, prompt: 'flag', maxTokens: 100 })
     await under.advance(100)
@@ -68,7 +68,7 @@
     expect(under.engine.orders.map(({ kind }) => kind)).to.deep.equal(['load', 'load'])
   })
 
-  it('absence refuses requests at once as not run', async () => {
+  it('refuses requests as not run while the engine is unreachable', async () => {
     const { under, router } = await running(3)
     under.engine.knobs.isDown = true
     await under.advance(2_500)
--- a/packages/agent/src/engine/runStream.ts
+++ b/packages/agent/src/engine/runStream.ts
@@ -11,11 +11,11 @@
 /** How a run on the engine ended. */
 export type StreamEnd =
   | { readonly kind: 'finished', readonly tokenCount: number, readonly finishReason: FinishReason }
-  /** No byte left for the engine. */
+  /** No byte was sent to the engine. */
   | { readonly kind: 'unreached', readonly fault: Fault }
-  /** The engine answered that it will not run this; nothing ran. */
+  /** The engine refused the request; nothing ran. */
   | { readonly kind: 'rejected', readonly fault: Fault }
-  /** The run broke off. `died`: the engine process ended. */
+  /** The run was interrupted. `died`: the engine process ended. */
   | { readonly kind: 'interrupted', readonly died: boolean, readonly fault: Fault }
   | { readonly kind: 'cancelled' }
 
@@ -23,12 +23,12 @@
   readonly engine: EngineClient
   readonly timers: TimerService
   readonly args: GenerateArgs
-  /** The engine's incarnation that holds the model. */
+  /** Incarnation of the engine that holds the model. */
   readonly incarnation: string
-  /** Time for which the engine may be out of reach before the run is given up. */
+  /** How long the engine may be unreachable before the run is interrupted. */
   readonly maxUnreachableMs: number
   readonly signal: AbortSignal
-  /** Receives new tokens, in order, each index once. */
+  /** Receives new tokens in order, each index once. */
   readonly onTokens: (firstTokenIndex: number, tokens: readonly string[]) => void
   readonly onResume: (fault: Fault) => void
 }
@@ -37,28 +37,28 @@
   | { readonly kind: 'last', readonly finishReason: FinishReason }
   | { readonly kind: 'broken', readonly thrown: unknown, readonly fault: Fault }
 
-/** Answers to `generate` after which nothing of the request runs. */
+/** Error codes of `generate` after which nothing of the request runs. */
 const REJECTION_CODES: ReadonlySet<Code | undefined> = new Set([
   Code.InvalidArgument, Code.NotFound, Code.FailedPrecondition, Code.ResourceExhausted, Code.OutOfRange, Code.Unimplemented,
   Code.PermissionDenied, Code.Unauthenticated
 ])
 
-/** Answers that say nothing about the stream, after which it is asked for again. */
+/** Error codes that do not determine the state of the stream, after which it is requested again. */
 const TRANSIENT_CODES: ReadonlySet<Code | undefined> = new Set([undefined, Code.Unavailable, Code.Unknown, Code.Internal, Code.AlreadyExists])
 
-/** Aborts `controller` when nothing was heard for STREAM_SILENCE_MS. */
+/** Aborts `controller` when nothing was received for STREAM_IDLE_MS. */
 const abortWhenSilent = (timers: TimerService, lastReceivedMs: () => number, controller: AbortController): (() => void) =>
   timers.every(STREAM_IDLE_MS / 4, () => {
     if (timers.nowMs() - lastReceivedMs() >= STREAM_IDLE_MS) controller.abort()
   })
 
 /**
- * Runs one generation to its end over as many connections as it takes.
+ * Runs one generation to its end, over several connections if necessary.
  *
- * Guards against a connection that goes silent for good or breaks: it shows as no bytes for
- * STREAM_SILENCE_MS or as an error. The stream outlives its connection at the engine, so it is resumed by its
- * id from the next token index; the index decides, so a repeated token is dropped and a gap is never passed on.
- * A second `generate` is only sent to the same incarnation, which refuses an id that it knows.
+ * A connection can go silent permanently or break, which shows as no bytes for STREAM_IDLE_MS or as an error. The
+ * engine keeps the stream when its connection ends, so the stream is resumed by its id from the next token index.
+ * Repeated tokens are dropped by their index, and a gap counts as a break. A second `generate` is sent only to the same
+ * incarnation, which refuses an id that it already has.
  */
 export const runStream = async ({ engine, timers, args, incarnation, maxUnreachableMs, signal, onTokens, onResume }: Options): Promise<StreamEnd> => {
   let nextIndex = args.doneTokens.length
@@ -79,7 +79,7 @@
     return undefined
   }
 
-  // The connection is read to its end behind the last chunk, so that it goes back to the pool.
+  // Reads the connection past the last chunk to its end, so that it is returned to the pool.
   const readAll = async (open: (signal: AbortSignal) => AsyncIterable<Chunk>, onEnd: (end: ReadEnd) => void): Promise<void> => {
     const controller = new AbortController()
     const forward = (): void => controller.abort()
@@ -102,11 +102,11 @@
     }
   }
 
-  /** Reads one connection up to the last chunk or its break; what comes behind has no effect. */
+  /** Resolves at the last chunk or at the first error; later events on the connection have no effect. */
   const read = async (open: (signal: AbortSignal) => AsyncIterable<Chunk>): Promise<ReadEnd> =>
     await new Promise((resolve, reject) => { readAll(open, resolve).catch(reject) })
 
-  /** Asks whether the engine still is the one that was given the request. */
+  /** Checks whether the engine is still the incarnation that received the request. */
   const probe = async (): Promise<'same' | 'died' | 'unreachable'> => {
     const answer = await engine.inventory().run()
     return answer.caseOf<'same' | 'died' | 'unreachable'>({
@@ -135,13 +135,13 @@
       failingSinceMs ??= timers.nowMs()
       if (timers.nowMs() - failingSinceMs > maxUnreachableMs) return { kind: 'interrupted', died: false, fault }
     } else {
-      // The same incarnation that does not know the stream never got the first call, or has forgotten the stream.
+      // If the same incarnation does not have the stream, the first call never arrived or the stream was dropped.
       const isLost: boolean = shouldResume && code === Code.NotFound && !hasReceivedChunk
       if (!isLost && !TRANSIENT_CODES.has(code)) return { kind: 'interrupted', died: false, fault }
       shouldResume = !isLost
     }
     if (shouldResume) onResume(fault)
-    // The first break is mended at once, so that callers do not notice; a second one in a row is not hurried.
+    // The first break is retried at once, so that callers do not notice it; a second consecutive one waits.
     await sleep(timers, failureCount === 0 && shouldResume ? 0 : STREAM_RETRY_MS, signal)
     failureCount += 1
     if (engineStatus === 'unreachable') shouldResume = true
--- a/packages/agent/src/engine/types.ts
+++ b/packages/agent/src/engine/types.ts
@@ -2,7 +2,7 @@
 import type { Fault, ModelId } from '@figmount/base'
 import type { FinishReason } from '@figmount/schema'
 
-/** An order to the engine. `fence` is the offset of the grant it is given under. */
+/** An order to the engine. `fence` is the fencing token: the log offset of the grant that permits it. */
 export type EngineOrder =
   | { readonly kind: 'load', readonly model: ModelId, readonly fence: number, readonly version: string, readonly memoryMb: number, readonly checkpointMb: number }
   | { readonly kind: 'unload', readonly model: ModelId, readonly fence: number }
@@ -24,7 +24,7 @@
   readonly adapters: ReadonlyArray<{ readonly adapter: string, readonly memoryMb: number }>
 }
 
-/** What the engine says that it holds. */
+/** The models and memory that the engine reports. */
 export interface Inventory {
   readonly incarnation: string
   readonly memoryCapacityMb: number
@@ -55,13 +55,13 @@
   readonly kvUsedMb: number
 }
 
-/** A backend server that runs models. Streams throw what the library throws; orders answer with values. */
+/** Calls to a backend server that runs models. Streams throw the library's errors; orders return faults as values. */
 export interface EngineClient {
   readonly address: string
   readonly order: (order: EngineOrder, signal: AbortSignal) => EitherAsync<Fault, OrderDone>
   readonly inventory: () => EitherAsync<Fault, Inventory>
   readonly generate: (args: GenerateArgs, signal: AbortSignal) => AsyncIterable<Chunk>
-  /** Streams an existing generation again over a connection of its own. */
+  /** Resumes an existing generation over a new connection. */
   readonly resume: (streamId: string, fromTokenIndex: number, signal: AbortSignal) => AsyncIterable<Chunk>
   readonly cancel: (streamId: string) => EitherAsync<Fault, boolean>
 }
