--- a/packages/agent/src/once/constants.ts
+++ b/packages/agent/src/once/constants.ts
@@ -1,5 +1,5 @@
-/** When to come back after a refusal that time alone cures. Grounds: the log is read again every second or so. */
+/** Retry-after of a refusal that only time resolves; the log is read about once a second. */
 export const PERMIT_RETRY_MS = 1_000
 
-/** Period at which expired keys are forgotten. */
+/** Period at which expired keys are removed. */
 export const KEY_SWEEP_MS = 10_000
--- a/packages/agent/src/once/createPermitLedger.ts
+++ b/packages/agent/src/once/createPermitLedger.ts
@@ -30,10 +30,10 @@
   readonly executorIncarnation: Incarnation
 }
 
-/** The decisions of the holder of `keys` rights, remembered for ONCE_WINDOW_MS. */
+/** The permits granted by the holder of `keys` rights, stored for ONCE_WINDOW_MS. */
 export interface PermitLedger {
   readonly ask: (ask: PermitRequest) => PermitReply
-  /** Takes a permit back of which nothing ran; ignored when the key has gone to another attempt. */
+  /** Withdraws a permit under which nothing ran; ignored if the key belongs to another attempt. */
   readonly withdraw: (key: KeyName, attemptId: AttemptId) => void
   readonly sweep: () => void
   readonly count: () => number
@@ -41,7 +41,7 @@
 
 const keyText = ({ target, caller, requestKey }: KeyName): string => `${target}\n${caller}\n${requestKey}`
 
-/** Makes the permit ledger of one agent. */
+/** Creates the permit ledger of one agent. */
 export const createPermitLedger = (options: Options): PermitLedger => {
   const { timers, events, instance, maxKeys } = options
   const entries = new Map<string, PermitEntry>()
@@ -56,7 +56,7 @@
       keysHolder: instance,
       keysFence: keys.fence
     }
-    // A resend is refused by its age before that, also if the clock is set back within its bound.
+    // By then a resend is refused as too old, even if the clock is set back within its error bound.
     entries.set(key, { permit, target, forgetAtUnixMs: Math.max(request.issuedAtMs, timers.unixMs()) + KEY_MEMORY_MS })
     return permit
   }
--- a/packages/agent/src/once/judgePermit.ts
+++ b/packages/agent/src/once/judgePermit.ts
@@ -8,20 +8,20 @@
 const refuse = (runState: RunState, reason: RefusalReason, retryAfterMs: number, detail: string): PermitVerdict =>
   ({ kind: 'refuse', refusal: { runState, reason, retryAfterMs: Math.max(0, Math.ceil(retryAfterMs)), detail, step: 'once.permit', peer: '' } })
 
-/** What is true of a key that another holder may have decided on: nothing of a first send can have run. */
+/** Run state of a key that another holder may have permitted: a first send cannot have run yet. */
 const notRunUnlessResent = (view: PermitView): RunState => view.resendCount === 0 ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN
 
 /**
- * Decides on a key that the holder does not know.
+ * Decides on a key that is not in the holder's ledger.
  *
- * Guards against a second run of a request whose first run an earlier holder permitted: shows as a
- * resend at a holder that never saw the key. Every key that an earlier holder can have permitted was issued
- * before the tenure's `fromMs`, so only keys issued later are let run.
+ * An earlier holder may have permitted a run of the request; a second run would follow if this holder granted its resend.
+ * Every key that an earlier holder can have permitted was issued before the tenure's `fromMs`, so only keys issued
+ * later are granted.
  */
 export const judgePermit = (view: PermitView): PermitVerdict => {
   const { tenure, issuedAtMs, nowUnixMs } = view
   if (issuedAtMs > nowUnixMs + CLOCK_ERROR_MS) {
-    // A holder before this one, with a clock that is ahead, may have taken the stamp for a good one.
+    // An earlier holder whose clock is ahead may have accepted this issue time.
     return refuse(notRunUnlessResent(view), RefusalReason.INVALID, 0, 'the key is issued in the future')
   }
   if (issuedAtMs < nowUnixMs - ONCE_WINDOW_MS) {
@@ -35,7 +35,7 @@
     return refuse(notRunUnlessResent(view), RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the holder of the keys is not sure of its right')
   }
   if (view.authority === 'outage') {
-    // A void needs the list to have dropped the holder: while the list names it there is no successor.
+    // A void requires that the list has dropped the holder: while the list contains it there is no successor.
     const runState = view.isListed ? RunState.NOT_RUN : notRunUnlessResent(view)
     return refuse(runState, RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the log is out of reach')
   }
--- a/packages/agent/src/once/once.test.ts
+++ b/packages/agent/src/once/once.test.ts
@@ -51,7 +51,7 @@
 })
 
 describe('once', () => {
-  it('decides by tenure, age and authority', () => {
+  it('decides on keys by tenure, age and authority', () => {
     expect(stateOf({})).to.equal('grant')
     expect(stateOf({ issuedAtMs: 56_999 })).to.equal(RunState.MAY_HAVE_RUN)
     expect(stateOf({ issuedAtMs: 56_999, resendCount: 0 })).to.equal(RunState.NOT_RUN)
@@ -66,9 +66,9 @@
     expect(stateOf({ isFull: true })).to.equal(RunState.NOT_RUN)
   })
 
-  // The caller sends again through another router while the first run goes on. Run twice, the
-  // flag would be billed twice; refused, its answer would be lost.
-  it('joins a resend to the run and replays the answer', async () => {
+  // The caller resends through another router while the first run continues. A second run would bill the request twice;
+  // a refusal would lose its answer.
+  it('lets a resend join the run and replays the answer', async () => {
     const { under, router } = await holder()
     router.start('a', once({ maxTokens: 20 }))
     await under.advance(250)
@@ -87,16 +87,16 @@
     expect(under.engine.runs).to.have.length(1)
   })
 
-  it('points a known key to its executor', async () => {
+  it('answers a known key with its executor', async () => {
     const { under, router } = await holder()
     expect((await ask(under, router, 'a', 'agent-2')).kind).to.equal('granted')
     expect((await ask(under, router, 'a', 'agent-2')).kind).to.equal('granted')
     expect(await ask(under, router, 'b', 'agent-3', { resendCount: 1 })).to.deep.equal({ kind: 'known', attemptId: 'a', executor: 'agent-2' })
   })
 
-  // The executor could not reach its engine. Were its permit kept, every resend would be led
-  // back to a run that never began.
-  it('gives a withdrawn key to another attempt', async () => {
+  // The executor could not reach its engine. If its permit stayed, every resend would be directed to a run that never
+  // started.
+  it('grants a withdrawn key to another attempt', async () => {
     const { under, router } = await holder()
     await ask(under, router, 'a', 'agent-2')
     const key = { target: MODEL, caller: aRequest(0).caller, requestKey: 'k1' as RequestKey }
@@ -106,7 +106,7 @@
     expect((await ask(under, router, 'b', 'agent-3', { resendCount: 1 })).kind).to.equal('granted')
   })
 
-  it('is not run while the engine is away, and runs when it is back', async () => {
+  it('refuses as not run while the engine is unreachable, and runs a resend afterwards', async () => {
     const { under, router } = await holder()
     router.start('a', once({ requestKey: 'warm' as RequestKey }))
     await under.advance(500)
@@ -118,7 +118,7 @@
     await under.advance(3_000)
     router.start('c', once({ resendCount: 1 }))
     await under.advance(600)
-    // Resent without a permit: the holder that is the executor decides alone.
+    // Resent without a permit: a holder that is also the executor grants it itself.
     expect(router.finalOf('c')?.tokenCount).to.equal(3)
     expect(under.engine.runs).to.have.length(2)
   })
@@ -133,8 +133,8 @@
     expect(router.finalOf('b')?.tokenCount).to.equal(3)
   })
 
-  // The holder restarts with an empty memory. A key that its earlier run let through comes
-  // again; taken as new, the request would run a second time.
+  // The holder restarts with an empty ledger. A key that its earlier run permitted is sent again; treated as new, the
+  // request would run a second time.
   it('renews its tenure after a restart', async () => {
     const { under, router } = await holder()
     router.start('a', once({ requestKey: 'old' as RequestKey }))
@@ -151,7 +151,7 @@
     expect(again.engine.runs).to.have.length(1)
   })
 
-  it('refuses new keys while the log is out of reach', async () => {
+  it('refuses new keys while the log is unreachable', async () => {
     const { under, router } = await holder()
     under.log.isUp = false
     await under.advance(AUTHORITY_MS + 500)
@@ -164,7 +164,7 @@
     expect((await ask(under, router, 'b', 'agent-2')).kind).to.equal('granted')
   })
 
-  it('forgets keys after the window', async () => {
+  it('removes keys after the window', async () => {
     const { under, router } = await holder()
     await ask(under, router, 'a', 'agent-2')
     under.timers.advance(KEY_MEMORY_MS + 11_000)
--- a/packages/agent/src/once/types.ts
+++ b/packages/agent/src/once/types.ts
@@ -1,7 +1,7 @@
 import type { CallerName, ModelId, RequestKey } from '@figmount/base'
 import type { Permit, RefusalNote, RunRequest } from '@figmount/peers'
 
-/** A key that was let run, as its holder remembers it. */
+/** A permitted key in the holder's ledger. */
 export interface PermitEntry {
   readonly permit: Permit
   readonly target: ModelId
@@ -9,21 +9,21 @@
   readonly forgetAtUnixMs: number
 }
 
-/** The tenure of a `keys` right as the decision needs it. */
+/** The time range in which the holder of a `keys` right decides on keys. */
 export interface Tenure {
-  /** A key issued before this time may have been let run by an earlier holder; all margins are in it. */
+  /** An earlier holder may have permitted keys issued before this time; all safety margins are included. */
   readonly fromMs: number
 }
 
-/** What the holder of a `keys` right decides on. */
+/** Inputs for the decision on a key. */
 export interface PermitView {
   readonly issuedAtMs: number
   readonly resendCount: number
   readonly nowUnixMs: number
-  /** Undefined when this agent does not hold the right, or not for this run of it. */
+  /** Undefined if this agent does not hold the right, or holds it from an earlier run. */
   readonly tenure: Tenure | undefined
   readonly authority: 'fresh' | 'outage' | 'none'
-  /** True when the instance list was read of late and names this holder. */
+  /** True if a recent read of the instance list contains this holder. */
   readonly isListed: boolean
   readonly draining: boolean
   readonly isFull: boolean
@@ -33,10 +33,10 @@
   | { readonly kind: 'grant' }
   | { readonly kind: 'refuse', readonly refusal: RefusalNote }
 
-/** The part of a request that names it. */
+/** The fields of a request that its permit is decided on. */
 export type KeyedRequest = Pick<RunRequest, 'caller' | 'requestKey' | 'issuedAtMs' | 'resendCount' | 'model' | 'service'>
 
-/** Names a request key among all callers and targets. */
+/** Identifies a request key among all callers and targets. */
 export interface KeyName {
   readonly target: ModelId
   readonly caller: CallerName
--- a/packages/agent/src/suspects/constants.ts
+++ b/packages/agent/src/suspects/constants.ts
@@ -1,11 +1,11 @@
 /**
- * How long a suspicion that came over a link counts without the log's word. Grounds: the log carries it
- * within a second; an outage of the log must not make a crashing request look harmless for minutes.
+ * How long a death reported over a link counts without a record in the log. The log normally has it within a second;
+ * during an outage of the log a crashing request must stay a suspect for minutes.
  */
 export const RECENT_DEATH_KEEP_MS = 120_000
 
-/** Fast suspicions remembered at once. */
+/** Maximum number of fingerprints with recent deaths. */
 export const MAX_RECENT_SUSPECTS = 1_000
 
-/** Deaths remembered of one fast suspicion; two convict. */
+/** Maximum number of recent deaths of one fingerprint; two convict. */
 export const MAX_RECENT_DEATHS = 4
--- a/packages/agent/src/suspects/createSuspectTracker.ts
+++ b/packages/agent/src/suspects/createSuspectTracker.ts
@@ -9,13 +9,13 @@
 import type { AppendReliably } from '../rights/appendReliably.js'
 import type { Attempt } from '../attempts/types.js'
 
-/** A suspicion as it goes to every router. */
+/** A suspicion as sent to every router. */
 export interface Suspicion {
   readonly fingerprints: readonly string[]
   readonly deathId: string
 }
 
-/** A suspicion as it comes from a peer. */
+/** A suspicion as received from a peer. */
 export interface PeerSuspicion extends Suspicion {
   readonly instance: InstanceName
 }
@@ -23,26 +23,26 @@
 interface Options {
   readonly context: AgentContext
   readonly append: AppendReliably
-  /** Tells every router that is connected. */
+  /** Sends the suspicion to every connected router. */
   readonly notifyRouters: (suspicion: Suspicion) => void
 }
 
-/** What is known of requests that may crash engines. */
+/** Tracks requests that may have crashed engines. */
 export interface SuspectTracker {
   readonly verdictOf: (attempt: Pick<Attempt, 'request'>) => SuspectVerdict
   readonly reportDeath: (deathId: string, inFlight: readonly Attempt[]) => void
-  /** Takes a suspicion from a peer, ahead of the log. */
+  /** Adds a suspicion received from a peer before it is in the log. */
   readonly addFromPeer: (suspicion: PeerSuspicion) => void
-  /** A request got its answer. */
+  /** Clears the suspicion of a request that was answered. */
   readonly clear: (attempt: Attempt) => void
 }
 
 /**
- * Makes the book of suspects.
+ * Creates the suspect tracker.
  *
- * Guards against a request that crashes every engine that runs it and that its caller sends again: the routers and
- * the log hear of it before the request is handed back, so that the next agent already runs it alone. What
- * came over links convicts as the log does, so that an outage of the log costs no third engine.
+ * A request can crash every engine that runs it while its caller keeps resending it. A death is therefore reported to
+ * the routers and the log before the request is refused, so that the next agent runs it alone. Reports over links
+ * convict like log records, so that an outage of the log does not cost a third engine.
  */
 export const createSuspectTracker = ({ context, append, notifyRouters }: Options): SuspectTracker => {
   const { records, events, timers, instance } = context
@@ -62,7 +62,7 @@
     }
   }
 
-  /** The deaths that the log knows and those that it may not have yet. */
+  /** The deaths recorded in the log, and recent ones that may not be in it yet. */
   const deathsOf = (fingerprint: string): readonly SuspectDeath[] => {
     const logged = records.state().suspects.get(fingerprint)?.deaths ?? []
     const recent = (recentDeaths.get(fingerprint) ?? []).filter(({ atMs }) => timers.unixMs() - atMs <= RECENT_DEATH_KEEP_MS)
--- a/packages/agent/src/suspects/suspects.test.ts
+++ b/packages/agent/src/suspects/suspects.test.ts
@@ -18,9 +18,9 @@
 const suspectsOf = ({ log }: AgentUnderTest): readonly string[] => [...log.state().suspects.keys()].sort()
 
 describe('suspects', () => {
-  // One request crashes the engine while another runs beside it, and both are sent again. The
-  // next death must not take bystanders along, and the bystander must get its answer.
-  it('run alone: the guilty is convicted, the bystander answered', async () => {
+  // One request crashes the engine while another runs beside it, and both are sent again. The next crash must not affect
+  // other requests, and the innocent one must be answered.
+  it('run alone: the crashing request is convicted, the other one answered', async () => {
     const { under, router } = await ready()
     under.engine.knobs.poison = 'bomb'
     router.start('a', { prompt: 'bystander', maxTokens: 50 })
@@ -47,7 +47,7 @@
     expect(under.engine.runs.filter(prompt => prompt === 'bomb')).to.have.length(2)
   })
 
-  it('wait for what runs and hold back what comes', async () => {
+  it('wait for running requests and delay later ones', async () => {
     const { under, router } = await ready()
     router.start('long', { prompt: 'long', maxTokens: 60 })
     await under.advance(50)
@@ -61,9 +61,9 @@
     expect(router.finalOf('late')?.tokenCount).to.equal(5)
   })
 
-  // The log is down while one request crashes engine after engine. Without the log's word every
-  // agent would run it alone once more, and lose its engine each time.
-  it('are convicted by what came over links while the log is down', async () => {
+  // The log is down while one request crashes engine after engine. Without reports over links every agent would run it
+  // alone once more and lose its engine.
+  it('are convicted by reports over links while the log is down', async () => {
     const { under, router } = await ready()
     under.log.isUp = false
     const instance = 'agent-9' as InstanceName
@@ -77,7 +77,7 @@
     expect(router.finalOf('y')?.tokenCount).to.equal(3)
   })
 
-  it('are believed from a peer ahead of the log', async () => {
+  it('count when a peer reports them before the log', async () => {
     const { under, router } = await ready()
     router.send({ type: 'suspect', fingerprints: ['s'], deathId: 'agent-9/e1', instance: 'agent-9' as InstanceName })
     router.start('long', { prompt: 'long', maxTokens: 60 })
