--- a/packages/agent/src/leaving/createDrain.ts
+++ b/packages/agent/src/leaving/createDrain.ts
@@ -5,43 +5,43 @@
 import type { AgentContext } from '../agent/types.js'
 import type { Listing } from '../membership/watchInstances.js'
 
-/** Why an agent takes no new work. */
+/** Why an agent accepts no new work. */
 export type DrainReason = 'stop' | 'operator' | 'instanceList'
 
 interface Options {
   readonly context: AgentContext
   readonly listing: () => Listing
   readonly refreshListing: () => Promise<void>
-  /** True when nothing runs or waits. */
+  /** True if nothing is running or queued. */
   readonly isIdle: () => boolean
-  /** True when the last frames have reached the routers. */
+  /** True if the routers have received the last frames. */
   readonly isDelivered: () => boolean
-  /** True when no right is held and no order is open. */
+  /** True if no right is held and no order is open. */
   readonly hasReleasedAll: () => boolean
   readonly onChange: (reason: DrainReason | undefined) => void
-  /** Ends what is left at the deadline. */
+  /** Cancels the remaining work at the deadline. */
   readonly cancelAll: () => void
 }
 
-/** Whether and why the agent is leaving. */
+/** Whether the agent is draining, and why. */
 export interface Drain {
   readonly reason: () => DrainReason | undefined
-  /** True when the rights are to be given back: the instance goes away for good and nothing is left to do. */
+  /** True if all rights are to be released: the instance leaves permanently and no work is left. */
   readonly isReleasingAll: () => boolean
   readonly update: () => void
-  /** Begins the stop and resolves when it is done, at the latest at the deadline. */
+  /** Starts the stop; resolves when it is complete or at the deadline. */
   readonly finish: () => Promise<void>
 }
 
 const POLL_MS = 20
 
-/** Time for the last frames to be acknowledged. Grounds: a router that is silent for longer is given up. */
+/** Time for the last frames to be acknowledged; a router that is silent for longer is considered dead. */
 const DELIVERY_TIMEOUT_MS = 3_000
 
-/** Time for unloads and the release of rights at the end of a stop; what is left is voided later. */
+/** Time for unloads and the release of rights at the end of a stop; rights still held are voided later. */
 const RELEASE_TIMEOUT_MS = 5_000
 
-/** Makes the drain of one agent. */
+/** Creates the drain of one agent. */
 export const createDrain = (options: Options): Drain => {
   const { context: { records, events, timers, settings, instance } } = options
   let isStopping = false
@@ -81,8 +81,8 @@
     finish: async () => {
       isStopping = true
       update()
-      // Guards against a leave that is announced in the list just before the stop: by what was read
-      // seconds ago this is a restart, and rights that nobody gave back wait half a minute for a void.
+      // The list may have marked the instance as leaving just before the stop. By the listing read seconds ago this
+      // would be a restart, and rights that are not released wait half a minute for a void.
       const refreshed = options.refreshListing()
       if (await waitFor(options.isIdle, settings.limits.drain_ms)) {
         events.emit(AgentEvent.drainEmpty)
--- a/packages/agent/src/leaving/leaving.test.ts
+++ b/packages/agent/src/leaving/leaving.test.ts
@@ -23,9 +23,9 @@
 const statusesOf = ({ log }: AgentUnderTest): readonly string[] => [...log.state().rights.values()].map(({ status }) => status)
 
 describe('leaving', () => {
-  // A planned stop in the middle of work: what runs or can still run is answered, what cannot
-  // start is refused at once so that its router sends it elsewhere, and nothing new is taken.
-  it('ends work, refuses the rest and stops when empty', async () => {
+  // A planned stop during work: running requests and those that can still run are answered, those that cannot start are
+  // refused at once so that the router sends them elsewhere, and no new ones are accepted.
+  it('finishes its work, refuses the rest and stops when idle', async () => {
     const { under, router } = await ready()
     for (const id of ['a', 'b', 'c', 'd', 'queued']) router.start(id, { prompt: id, maxTokens: 50 })
     under.engine.knobs.loadMs = 10_000
@@ -49,7 +49,7 @@
     expect(under.engine.residents()).to.have.length(1)
   })
 
-  it('refuses queued work for a cold model at once', async () => {
+  it('refuses queued requests for a cold model at once', async () => {
     const { under, router } = await ready()
     router.start('a', { maxTokens: 20 })
     await under.advance(50)
@@ -63,7 +63,7 @@
     await stopping
   })
 
-  it('says what is left at its deadline', async () => {
+  it('refuses the remaining work at its deadline', async () => {
     const { under, router } = await ready({ drain_ms: '1000' })
     router.start('a', { maxTokens: 5_000 })
     await under.advance(50)
@@ -73,9 +73,9 @@
     expect(router.refusalOf('a')).to.include({ runState: RunState.RAN, reason: RefusalReason.STOPPING })
   })
 
-  // The platform takes the instance away for good. Kept to the end, its rights could only be
-  // voided after a wait, and its models would be cold for callers that long.
-  it('gives its rights back when the instance list says leaving', async () => {
+  // The platform removes the instance permanently. If it kept its rights to the end, they could only be voided after a
+  // wait, and its models would be cold for callers until then.
+  it('releases its rights when the instance list marks it as leaving', async () => {
     const { under, router } = await ready()
     router.start('a', { maxTokens: 50 })
     await under.advance(50)
@@ -87,9 +87,9 @@
     expect(statusesOf(under)).to.deep.equal(['free', 'free', 'free'])
   })
 
-  // The platform marks the instance as leaving and stops it at once, between two reads of the list. Taken for a
-  // restart, it would keep its rights, and its callers would be refused until they are voided.
-  it('gives its rights back when the list says so only at the stop', async () => {
+  // The platform marks the instance as leaving and stops it at once, between two reads of the list. If this counted as a
+  // restart, the agent would keep its rights, and its callers would be refused until they are voided.
+  it('releases its rights when the list marks it as leaving only at the stop', async () => {
     const { under } = await ready()
     under.listing = { listed: 'present', leaving: true }
     const stopping = under.agent.stop().then(() => 'stopped')
@@ -99,7 +99,7 @@
     expect(statusesOf(under)).to.deep.equal(['free', 'free', 'free'])
   })
 
-  it('drains for an operator and goes on after it', async () => {
+  it('drains for an operator and accepts work again afterwards', async () => {
     const { under, router } = await ready()
     const drain = (draining: boolean) => under.log.write({ kind: 'drain.set', instance: 'agent-1' as InstanceName, draining, operatorName: 'op' })
     drain(true)
--- a/packages/agent/src/rights/appendReliably.ts
+++ b/packages/agent/src/rights/appendReliably.ts
@@ -5,13 +5,13 @@
 import type { NewRecord } from '@figmount/records'
 import type { AgentContext } from '../agent/types.js'
 
-/** Appends a record, again and again under one id until the log has it or `stillWanted` says no. */
+/** Appends a record, retrying with the same record id until the log accepts it or `isStillWanted` returns false. */
 export type AppendReliably = (record: NewRecord, isStillWanted?: () => boolean) => void
 
 const FIRST_RETRY_MS = 500
 const MAX_RETRY_MS = 10_000
 
-/** Makes the appender; it gives up what is still open when `signal` aborts. */
+/** Creates the appender; it abandons open appends when `signal` aborts. */
 export const createReliableAppender = (context: AgentContext, signal: AbortSignal): AppendReliably => {
   const { records, events, timers, incarnation } = context
   let idCount = 0
--- a/packages/agent/src/rights/createRightsKeeper.ts
+++ b/packages/agent/src/rights/createRightsKeeper.ts
@@ -16,23 +16,23 @@
 interface Options {
   readonly context: AgentContext
   readonly append: AppendReliably
-  /** True when nothing of the model is on the engine and no order for it is open. */
+  /** True if the engine holds nothing of the model and no order for it is open. */
   readonly isUnloaded: (model: ModelId) => boolean
-  /** True when all rights are to be given back because the instance goes away. */
+  /** True if all rights are to be released because the instance leaves permanently. */
   readonly isReleasingAll: () => boolean
   readonly onChange: () => void
 }
 
-/** The rights of this agent as the log grants them. */
+/** The rights that the log grants to this agent. */
 export interface RightsKeeper {
   readonly current: () => HeldRights
   readonly tenure: (target: ModelId) => Tenure | undefined
-  /** Gives back revoked rights whose models are unloaded, and renews tenures after a restart. */
+  /** Releases revoked rights whose models are unloaded, and renews tenures after a restart. */
   readonly settle: () => void
   readonly stop: Unsubscribe
 }
 
-/** Makes the keeper of this agent's rights. */
+/** Creates the keeper of this agent's rights. */
 export const createRightsKeeper = ({ context, append, isUnloaded, isReleasingAll, onChange }: Options): RightsKeeper => {
   const { records, events, timers, instance, incarnation } = context
   const earlierOrdersExpireAtMs = timers.nowMs() + ORDER_DEADLINE_MS + ORDER_SETTLE_MS
@@ -49,15 +49,15 @@
     lastState = state
     wasReleasingAll = releasingAll
     const rights = viewRights(state, instance, incarnation, releasingAll)
-    // Before its own announcement has been read back an agent cannot know whether the rights are still its own.
-    // Its slots only say what it may go on serving from an engine that holds it; nothing is loaded or given back.
+    // Until its own announcement has been read back, an agent cannot tell whether the rights are still its own. The
+    // slots then only determine which loaded models it may keep serving; nothing is loaded or released.
     held = isAnnounced(context) ? rights : { ...noRights, slots: rights.slots }
     return held
   }
 
-  // Guards against an order that an earlier run of this agent has sent and that is still on its way:
-  // the engine shows nothing loaded, the right is given back and granted elsewhere, and then the
-  // order loads the model here, too. Once every such order has lapsed the inventory is the truth.
+  // An order sent by an earlier run of this agent may still be in transit. If the right were released because the
+  // engine shows nothing loaded, it would be granted to another agent, and the late order would load the model here as
+  // well. Once all such orders have expired, the inventory is reliable.
   const mayHavePendingOrder = (right: RightState): boolean => {
     const announcedAt = records.state().agents.get(instance)?.offset ?? 0
     return right.fence < announcedAt && timers.nowMs() < earlierOrdersExpireAtMs
@@ -67,7 +67,7 @@
     if (right.key.kind === 'keys') return true
     if (mayHavePendingOrder(right)) return false
     const slot = current().slots.get(right.key.target)
-    // Another slot of the same model is in force here: the replica on the engine counts under that one.
+    // Another slot of the same model is in force here, and the replica on the engine belongs to that slot.
     if (slot && slot.fence !== right.fence) return true
     return isUnloaded(right.key.target)
   }
--- a/packages/agent/src/rights/keepAnnounced.ts
+++ b/packages/agent/src/rights/keepAnnounced.ts
@@ -6,16 +6,16 @@
 import type { AgentContext } from '../agent/types.js'
 import type { AgentFacts, NewRecord } from '@figmount/records'
 
-/** Period at which the announcement is compared with what the log says. */
+/** Period at which the announcement is compared with the agreed state. */
 const RETRY_MS = 200
 
-/** What an agent announces besides its settings. */
+/** The facts about the engine that an agent announces in addition to its settings. */
 export interface EngineFacts {
   readonly memoryCapacityMb: number
   readonly enforcesFence: boolean
 }
 
-/** True when the log names this run of the agent. Before that the agent cannot know which rights are its own. */
+/** True if the log contains this run of the agent. Before that it cannot tell which rights are its own. */
 export const isAnnounced = ({ records, instance, incarnation }: AgentContext): boolean =>
   records.state().agents.get(instance)?.incarnation === incarnation
 
@@ -23,8 +23,8 @@
   !isAnnounced(context) || (known?.gone ?? false) || known?.memoryCapacityMb !== facts.memoryCapacityMb || known.enforcesFence !== facts.enforcesFence
 
 /**
- * Keeps this run of the agent in the log. It is announced again after a void: the instance was taken for gone and
- * is not, and without an announcement it would never be granted a right again.
+ * Keeps this run of the agent announced in the log. It is announced again after a void that took the running instance
+ * for gone, because an agent without an announcement is never granted a right.
  */
 export const keepAnnounced = (context: AgentContext, facts: () => EngineFacts | undefined): Unsubscribe => {
   const { records, events, timers, settings, instance, incarnation } = context
--- a/packages/agent/src/rights/types.ts
+++ b/packages/agent/src/rights/types.ts
@@ -2,22 +2,22 @@
 import type { RightState } from '@figmount/records'
 import type { HeldSlot } from '../loading/types.js'
 
-/** A `keys` right that this agent holds. */
+/** A `keys` right held by this agent. */
 export interface HeldKeys {
   readonly target: ModelId
   readonly fence: LogOffset
-  /** A key issued before this log time may have been let run by an earlier holder or run of this one. */
+  /** An earlier holder, or an earlier run of this one, may have permitted keys issued before this log time. */
   readonly keysFromMs: number
   /** False until the tenure has been renewed for this run of the agent. */
   readonly isOwnTenure: boolean
   readonly revoked: boolean
 }
 
-/** The rights of this agent, taken from the agreed state. */
+/** The rights of this agent in the agreed state. */
 export interface HeldRights {
-  /** One for each model: the lowest slot that is not revoked, else a revoked one. */
+  /** One per model: the lowest slot that is not revoked, otherwise a revoked one. */
   readonly slots: ReadonlyMap<ModelId, HeldSlot>
   readonly keys: ReadonlyMap<ModelId, HeldKeys>
-  /** Rights to be given back. */
+  /** Rights that have to be released. */
   readonly revoked: readonly RightState[]
 }
--- a/packages/agent/src/rights/viewRights.ts
+++ b/packages/agent/src/rights/viewRights.ts
@@ -9,7 +9,7 @@
   return slot.slotIndex < known.slotIndex
 }
 
-/** Rights that an instance holds, whether in force or to be given back; when it gives up, all are. */
+/** Lists the rights that an instance holds, in force or revoked; if `releasingAll`, all of them count as revoked. */
 export const viewRights = (
   state: Pick<AgreedState, 'rights'>,
   instance: InstanceName,
@@ -35,5 +35,5 @@
   return { slots, keys, revoked: revokedRights }
 }
 
-/** No rights, as before the log was read. */
+/** The rights before the log has been read. */
 export const noRights: HeldRights = { slots: new Map(), keys: new Map(), revoked: [] }
--- a/packages/agent/src/running/runOnEngine.ts
+++ b/packages/agent/src/running/runOnEngine.ts
@@ -13,11 +13,11 @@
   readonly engine: EngineClient
   readonly timers: TimerService
   readonly events: EventLog
-  /** The engine's incarnation as last seen. */
+  /** The last observed incarnation of the engine. */
   readonly incarnation: () => string
 }
 
-/** Runs attempts on a model engine; the attempt's id is the stream's id, so an attempt starts there once. */
+/** Runs attempts on a model engine. The attempt id is also the stream id, so the engine starts an attempt only once. */
 export const runOnEngine = ({ engine, timers, events, incarnation }: Options): RunOnBackend => async (attempt, version, hooks, signal) => {
   const { id, request } = attempt
   const startedOn = incarnation()
@@ -26,7 +26,7 @@
     timers,
     signal,
     incarnation: startedOn,
-    // Another run of it may not be tried, so the answer of this one is waited for as long as it is of use.
+    // A non-repeatable request may not be run again, so its answer is awaited until the deadline.
     maxUnreachableMs: request.repeatable ? MAX_UNREACHABLE_MS : Math.max(MAX_UNREACHABLE_MS, attempt.deadlineAtMs - timers.nowMs()),
     args: {
       streamId: id,
@@ -45,7 +45,7 @@
     },
     onResume: fault => events.emit(AgentEvent.streamResumed, { attemptId: id, model: request.model, peer: fault.peer, reason: fault.message })
   })
-  // Only now is it known whether a connection was made at all.
+  // Whether a connection was made is only known at the end.
   if (end.kind !== 'unreached' && end.kind !== 'rejected') hooks.onReach()
   return match(end)
     .returnType<RunEnd>()
@@ -54,7 +54,7 @@
     .with({ kind: 'rejected' }, ({ fault }) => ({ kind: 'notRun', fault, isBackendDown: false }))
     .with({ kind: 'interrupted' }, ({ fault, died }) => ({ kind: 'interrupted', fault, died, incarnation: startedOn }))
     .with({ kind: 'cancelled' }, () => {
-      // The stream outlives its connection at the engine and would go on using the accelerator.
+      // The engine keeps a stream when its connection ends, and would go on using the accelerator.
       runInBackground(events, 'engine.cancel', engine.cancel(id).run())
       return { kind: 'cancelled' }
     })
--- a/packages/agent/src/running/runOnPlain.ts
+++ b/packages/agent/src/running/runOnPlain.ts
@@ -10,13 +10,13 @@
   readonly address: string
   readonly callPlain: CallPlain
   readonly probe: () => Promise<Probe>
-  /** Names the run of the service; changes when it was found dead. */
+  /** Identifies the run of the service; changes when the service was found dead. */
   readonly incarnation: () => string
 }
 
 /**
- * Runs attempts on a plain HTTP service. A service that broke a call off and refuses connections right after has
- * ended; one that is merely cut off or closed the one connection has not.
+ * Runs attempts on a plain HTTP service. A service that interrupted a call and then refuses connections has ended; one
+ * that is unreachable or only closed that connection has not.
  */
 export const runOnPlain = ({ address, callPlain, probe, incarnation }: Options): RunOnBackend => async (attempt, _version, hooks, signal) => {
   const { plain, repeatable } = attempt.request
--- a/packages/agent/src/running/types.ts
+++ b/packages/agent/src/running/types.ts
@@ -6,15 +6,15 @@
 /** How one run on the backend server ended. */
 export type RunEnd =
   | { readonly kind: 'finished', readonly finishReason: FinishReason, readonly plain?: PlainAnswer }
-  /** Nothing of the request has run. */
+  /** Nothing of the request ran. */
   | { readonly kind: 'notRun', readonly fault: Fault, readonly isBackendDown: boolean }
-  /** The run broke off and its outcome is not known. */
+  /** The run was interrupted and its outcome is unknown. */
   | { readonly kind: 'interrupted', readonly fault: Fault, readonly died: boolean, readonly incarnation: string }
   | { readonly kind: 'cancelled' }
 
-/** What a run tells while it goes on. */
+/** Callbacks during a run. */
 export interface RunHooks {
-  /** Called when a byte has or may have left; more than once is harmless. */
+  /** Called when a byte was or may have been sent; repeated calls have no effect. */
   readonly onReach: () => void
   readonly onTokens: (firstTokenIndex: number, tokens: readonly string[]) => void
 }
