--- a/packages/agent/src/eviction/viewResidents.ts
+++ b/packages/agent/src/eviction/viewResidents.ts
@@ -13,14 +13,14 @@
   readonly nowMs: number
 }
 
-/** Uses per hour from the mean of past gaps; one a day when none is known. */
+/** Uses per hour from the mean of past gaps; one a day if there are none. */
 const requestsPerHour = (slot: Slot): number => {
   if (slot.pastGapsMs.length === 0) return 1 / 24
   const sumMs = slot.pastGapsMs.reduce((sum, gapMs) => sum + gapMs, 0)
   return MS_PER_HOUR * slot.pastGapsMs.length / Math.max(1, sumMs)
 }
 
-/** Resident models and adapters without an open order, as the choice of what to unload sees them; a model's memory is without its adapters'. */
+/** Resident models and adapters without an open order, as input for the eviction decision. A model's memory excludes its adapters. */
 export const viewResidents = ({ state, demandOf, isPinned, nowMs }: Options): readonly ResidentView[] => {
   const views: ResidentView[] = []
   for (const slot of state.slots.values()) {
--- a/packages/agent/src/links/constants.ts
+++ b/packages/agent/src/links/constants.ts
@@ -1,15 +1,14 @@
-/** Time that a peer may be ahead before its records are asked for; the log itself mostly is faster. */
+/** How long a peer's log offset may be ahead before its records are requested; the log itself usually is faster. */
 export const BEHIND_MS = 500
 
 /**
- * A start that the agreed state as read so far would refuse waits this long for records that its router has read. Grounds: a
- * read of the log comes 50 ms after the one before and a peer's records in one round trip; a caller that is refused comes
- * back after a second.
+ * How long a start that the agreed state as read so far would refuse waits for records that its router has read. The log is
+ * read every 50 ms and a peer's records take one round trip; a refused caller would retry only after a second.
  */
 export const HOLD_MS = 1_000
 
-/** Records passed to a peer in one message: at some 500 bytes each well below the largest message. */
+/** Records sent to a peer in one message: at about 500 bytes each, well below the maximum message size. */
 export const RECORDS_PER_MESSAGE = 500
 
-/** An event names a message that could not be handled by so much of its error. */
+/** Maximum length of the error text in the event about a message that could not be handled. */
 export const MAX_REASON_LENGTH = 200
--- a/packages/agent/src/links/createLinkRegistry.ts
+++ b/packages/agent/src/links/createLinkRegistry.ts
@@ -18,13 +18,13 @@
   readonly closeAll: (reason: string) => void
   readonly count: () => number
   readonly bufferedBytes: () => number
-  /** Notes how far a peer has read, and asks it for records when it stays ahead. */
+  /** Records a peer's log offset, and requests its records if it stays ahead. */
   readonly notePeerOffset: (peer: string, offset: LogOffset) => void
-  /** The highest offset that a peer has told. */
+  /** The highest log offset reported by a peer. */
   readonly highestOffset: () => LogOffset
 }
 
-/** Makes the book of open links. */
+/** Creates the registry of open links. */
 export const createLinkRegistry = (timers: TimerService, ownOffset: () => LogOffset): LinkRegistry => {
   const links = new Set<RouterLink>()
   let lag: Lag | undefined
--- a/packages/agent/src/links/createStartHold.test.ts
+++ b/packages/agent/src/links/createStartHold.test.ts
@@ -10,7 +10,7 @@
 const replica = { kind: 'replica', target: MODEL, slotIndex: 0 } as const
 const ATTEMPT = 'a' as AttemptId
 
-/** An agent that reads the log no further than a router that has just read its right. */
+/** An agent that has not yet read its right, which its router has read. */
 const startBehind = async (): Promise<{ readonly under: AgentUnderTest, readonly router: FakeRouter }> => {
   const under = await startAgentForTest()
   const router = under.connect()
@@ -20,10 +20,10 @@
   return { under, router }
 }
 
-describe('a start that its agent does not know enough for', () => {
-  // A right is granted, the router reads it first and sends a request at once. The agent would refuse it for want of the
-  // right, and its caller would come back a second later for what takes 50 ms.
-  it('waits until the agent has read what its router knew', async () => {
+describe('a start at an agent that is behind its router', () => {
+  // A right is granted, and the router reads it first and sends a request at once. The agent would refuse the request
+  // for lack of the right, and its caller would retry a second later although the record arrives within 50 ms.
+  it('waits until the agent has read the records that its router had read', async () => {
     const { under, router } = await startBehind()
     router.start('a')
     await under.advance(50)
@@ -33,8 +33,8 @@
     expect(router.finalOf('a')?.tokenCount).to.equal(3)
   })
 
-  // The same before the agent has read of the model at all. It would refuse for good what is configured.
-  it('waits for a model that is new', async () => {
+  // The same before the agent has read the model's configuration. It would refuse the request permanently.
+  it('waits for the configuration of a new model', async () => {
     const under = await startAgentForTest()
     const router = under.connect()
     const target = 'reader/n' as ModelId
@@ -49,7 +49,7 @@
     expect(router.finalOf('a')?.tokenCount).to.equal(3)
   })
 
-  it('makes the agent ask its router for the records', async () => {
+  it('makes the agent request the records from its router', async () => {
     const { under, router } = await startBehind()
     const fromOffset = (under.log.state().nextOffset - 1) as LogOffset
     router.start('a')
@@ -58,7 +58,7 @@
     expect(router.received.filter(({ type }) => type === 'records.ask')).to.deep.equal([{ type: 'records.ask', fromOffset }])
   })
 
-  it('is refused in time when the records do not come', async () => {
+  it('is refused after the hold time if the records do not arrive', async () => {
     const { under, router } = await startBehind()
     router.start('a')
     await under.advance(HOLD_MS + 50)
@@ -82,8 +82,8 @@
     expect(router.refusalOf('a')).to.include({ runState: RunState.NOT_RUN, reason: RefusalReason.DEADLINE })
   })
 
-  // The link breaks while the start is held. The router asks on a new link what became of it, hears that it is unknown and
-  // may run it elsewhere; run here as well, a request that may run once would run twice.
+  // The link breaks while the start is held. The router resumes the attempt on a new link, is answered `unknown` and may
+  // run it elsewhere; if it ran here as well, a non-repeatable request would run twice.
   for (const [name, leave] of [
     ['is unknown on a new link', (under: AgentUnderTest) => { under.connect().send({ type: 'resume', attemptId: ATTEMPT, fromFrame: 0 }) }],
     ['has lost its link', (_under: AgentUnderTest, router: FakeRouter) => { router.cut() }],
--- a/packages/agent/src/links/createStartHold.ts
+++ b/packages/agent/src/links/createStartHold.ts
@@ -9,9 +9,9 @@
 
 interface Options {
   readonly context: Pick<AgentContext, 'timers' | 'events' | 'records'>
-  /** Why the agreed state as read so far lets a request not run here; undefined while it does. */
+  /** Why the agreed state as read so far forbids the request here; undefined if it allows it. */
   readonly refusalByState: (start: { readonly request: RunRequest }) => RefusalNote | undefined
-  /** How far the peers have read that this agent has heard of. */
+  /** The highest log offset that peers have reported. */
   readonly highestOffset: () => LogOffset
   readonly start: HandleStart
 }
@@ -22,21 +22,21 @@
   readonly sinceMs: number
 }
 
-/** Starts that wait until the agent has read what their routers knew when they sent them. */
+/** Holds starts until the agent has read the records that their routers had read when they sent them. */
 export interface StartHold {
   readonly take: HandleStart
-  /** Takes a held start back; nothing of it has run or will. */
+  /** Discards a held start, which then never runs. */
   readonly drop: (attemptId: AttemptId) => void
-  /** Looks at the held starts again after the agreed state has grown. */
+  /** Checks the held starts again after the agreed state has changed. */
   readonly recheck: () => void
 }
 
 /**
- * Makes the hold of one agent.
+ * Creates the hold of one agent.
  *
- * Guards against an agent that reads the log some milliseconds later than a router: it knows nothing yet of the model or of
- * its own right, and would refuse for a second, or for good, what it may run as soon as it has read on. Every message tells
- * how far its sender has read, so the agent knows that it is behind and asks the router for what is missing.
+ * An agent may read the log some milliseconds later than a router. Without the model's configuration or its own right, it
+ * would refuse with a retry after a second, or permanently, a request that it may run once it has caught up. Every message
+ * carries its sender's log offset, so the agent detects that it is behind and requests the missing records.
  */
 export const createStartHold = ({ context, refusalByState, highestOffset, start }: Options): StartHold => {
   const { timers, events, records } = context
@@ -46,7 +46,7 @@
 
   const release = ({ start: { attemptId, request, ...rest }, subscriber, sinceMs }: HeldStart): void => {
     held.delete(attemptId)
-    // Guards against a start that runs though its router was told that it is unknown: after its link has ended the router asks anew.
+    // A router whose link has ended resumes on a new one and is told that the attempt is unknown, so it must not run.
     if (!subscriber.isOpen()) return
     const remainingMs = Math.max(0, request.remainingMs - (timers.nowMs() - sinceMs))
     start({ ...rest, attemptId, request: { ...request, remainingMs } }, subscriber)
--- a/packages/agent/src/links/runRouterLink.ts
+++ b/packages/agent/src/links/runRouterLink.ts
@@ -17,13 +17,13 @@
 
 type PermitAsk = Extract<RouterToAgentMessage, { type: 'permit.ask' }>
 
-/** What a router's messages are handed to. */
+/** The functions that handle a router's messages. */
 export interface LinkHandlers {
   readonly context: AgentContext
   readonly attempts: AttemptStore
   readonly start: HandleStart
   readonly cancel: (id: AttemptId) => void
-  /** Takes back a start that is held; its router is told that the attempt is unknown, or has cancelled it. */
+  /** Discards a held start, because its router cancelled it or is told that the attempt is unknown. */
   readonly dropHeld: (id: AttemptId) => void
   readonly askPermit: (ask: PermitAsk) => PermitReply
   readonly withdrawPermit: (key: KeyName, attemptId: AttemptId) => void
@@ -71,7 +71,7 @@
     .exhaustive()
 }
 
-/** A message of a newer build, or one without a field, is told and passed over; the link's other attempts go on. */
+/** Reports and ignores a message of a newer version or with missing fields; other attempts on the link continue. */
 const handleSafely = (handlers: LinkHandlers, link: RouterLink, toDelta: ToDelta, message: RouterToAgentMessage): void => {
   try {
     handle(handlers, link, toDelta, message)
@@ -80,7 +80,7 @@
   }
 }
 
-/** The task of one router's connection: reads its messages until it ends. Attempts outlive it. */
+/** Reads the messages of one router's connection until it ends. Its attempts continue after that. */
 export const runRouterLink = (handlers: LinkHandlers) => async (link: RouterLink): Promise<void> => {
   const toDelta = createDeltaReporter()
   handlers.onOpen(link)
--- a/packages/agent/src/membership/watchInstances.ts
+++ b/packages/agent/src/membership/watchInstances.ts
@@ -5,7 +5,7 @@
 
 import type { EventLog, Fault, InstanceName, TimerService } from '@figmount/base'
 
-/** What the platform's list says of this instance. */
+/** This instance's entry in the platform's instance list. */
 export interface Listing {
   readonly listed: 'present' | 'missing' | 'unknown'
   readonly leaving: boolean
@@ -16,7 +16,7 @@
 
 const READ_TIMEOUT_MS = 1_500
 
-/** A reading of the list is taken as news no longer than this many periods. */
+/** A read of the list expires after this many periods. */
 const STALE_PERIODS = 3
 
 /** Reads the platform's instance list over RPC. */
@@ -39,17 +39,17 @@
   readonly onChange: (listing: Listing) => void
 }
 
-/** The second source of this instance's own standing; it lags. */
+/** The instance's own entry in the list, a second source beside the log; it lags behind. */
 export interface InstanceWatch {
   readonly current: () => Listing
-  /** Reads the list now; resolves when that is done, or at its deadline. */
+  /** Reads the list now; resolves when the read has succeeded or timed out. */
   readonly refresh: () => Promise<void>
   readonly stop: () => void
 }
 
 const UNKNOWN: Listing = { listed: 'unknown', leaving: false }
 
-/** Follows what the instance list says of this instance. */
+/** Polls this instance's entry in the instance list. */
 export const watchInstances = ({ instance, timers, events, periodMs, read, onChange }: Options): InstanceWatch => {
   let listing = UNKNOWN
   let readAtMs = Number.NEGATIVE_INFINITY
@@ -67,7 +67,7 @@
   runInBackground(events, 'membership.list', readList())
   const stop = timers.every(Math.max(1, periodMs), () => runInBackground(events, 'membership.list', readList()))
   return {
-    // An old reading is no evidence: the list may have dropped or taken back the instance since.
+    // An expired read proves nothing: the list may have removed or re-added the instance since.
     current: () => timers.nowMs() - readAtMs <= periodMs * STALE_PERIODS ? listing : { ...listing, listed: 'unknown' },
     refresh: readList,
     stop
--- a/packages/agent/src/memory/memory.test.ts
+++ b/packages/agent/src/memory/memory.test.ts
@@ -21,7 +21,7 @@
 )
 
 describe('memory', () => {
-  it('reserves what fits and no more', () => {
+  it('reserves memory only up to the capacity', () => {
     const ledger = reserve(emptyLedger(1_000, 100), { model: idOf('a'), adapter: '', memoryMb: 500 })
     if (!ledger) throw new Error('500 of 900 MB fit')
     expect(freeMb(ledger)).to.equal(400)
@@ -30,10 +30,9 @@
     expect(usedMb(release(withAdapter, idOf('a'), ''))).to.equal(100)
   })
 
-  // Answers of the engine are lost or late, orders never arrive, the engine starts anew. If
-  // the agent gave away memory that an earlier order still takes, the engine would be
-  // overcommitted and die under all its callers.
-  it('is never overcommitted, whatever becomes of orders', async function () {
+  // Answers of the engine are lost or late, orders never arrive, the engine restarts. If the agent reserved memory that
+  // an earlier order still uses, the engine would be overcommitted and crash with all its requests.
+  it('is never overcommitted, whatever the outcome of orders', async function () {
     this.timeout(60_000)
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 30 }), async steps => {
       const adapters = [{ name: 'salt', memoryMb: 150 }]
--- a/packages/agent/src/memory/types.ts
+++ b/packages/agent/src/memory/types.ts
@@ -1,6 +1,6 @@
 import type { ModelId } from '@figmount/base'
 
-/** Names memory that one model (empty adapter) or one of its adapters takes. */
+/** Memory used by one model (empty adapter) or by one of its adapters. */
 export interface Holding {
   readonly model: ModelId
   readonly adapter: string
@@ -8,13 +8,13 @@
 }
 
 /**
- * What the agent counts as taken on its engine. An entry is made before the order to load leaves and goes
+ * The agent's account of the memory in use on its engine. A holding is added before the load order is sent and removed
  * only when the engine is known not to hold it.
  */
 export interface Ledger {
   readonly capacityMb: number
-  /** Set aside for KV cache. */
+  /** Reserved for the KV cache. */
   readonly kvCacheMb: number
-  /** By `holdingId`. */
+  /** Keyed by `holdingId`. */
   readonly holdings: ReadonlyMap<string, Holding>
 }
--- a/packages/agent/src/plain/callPlain.ts
+++ b/packages/agent/src/plain/callPlain.ts
@@ -8,7 +8,7 @@
 import type { Fault, TimerService } from '@figmount/base'
 import type { PlainAnswer, PlainCall } from '@figmount/peers'
 
-/** How one call to a plain service ended. `sent`: a byte of it may have left. */
+/** How one call to a plain service ended. `sent`: a byte of it may have been sent. */
 export type CallEnd =
   | { readonly kind: 'answered', readonly answer: PlainAnswer }
   | { readonly kind: 'failed', readonly sent: boolean, readonly fault: Fault }
@@ -20,7 +20,7 @@
   readonly onReach: () => void
 }
 
-/** Passes calls on to one plain service. */
+/** Forwards a call to a plain service. */
 export type CallPlain = (options: CallOptions) => Promise<CallEnd>
 
 type Headers = PlainCall['headers']
@@ -58,11 +58,11 @@
 }
 
 /**
- * Makes the caller of one plain service over Node's `http`.
+ * Creates the function that calls one plain service over Node's `http`.
  *
- * Guards against idle pooled connections that went silent: a call on one would hang, and whether it ran is not
- * known. Calls that may not be repeated therefore never use a pooled connection. Repeatable ones do, and are
- * sent again over a new one when nothing comes back on a reused connection.
+ * An idle pooled connection may have gone silent: a call on it would hang, and whether it ran would be unknown. Calls
+ * that are not repeatable therefore never use a pooled connection. Repeatable ones do, and are sent again over a new
+ * connection if a reused one returns nothing.
  */
 export const createCallPlain = (address: string, timers: TimerService): CallPlain => {
   const pool = new Agent({ keepAlive: true, timeout: IDLE_SOCKET_MS })
@@ -116,8 +116,8 @@
   }
 }
 
-/** A fault for an attempt that carries no call though its target is a plain service. */
+/** The fault of an attempt for a plain service that contains no HTTP call. */
 export const missingCallFault = (address: string): Fault => makeFault(FaultKind.Invalid, 'plain.call', address, 'the request carries no HTTP call')
 
-/** True when nothing listens at the service's address. */
+/** True if the service's address refuses connections. */
 export const isServiceDown = (fault: Fault): boolean => isConnectFailure(fault)
--- a/packages/agent/src/plain/plain.test.ts
+++ b/packages/agent/src/plain/plain.test.ts
@@ -44,7 +44,7 @@
     await new Promise(resolve => server.close(resolve))
   })
 
-  it('gets a call as it is', async () => {
+  it('receives a call unchanged', async () => {
     const end = await run('/records?id=1', true)
     expect(seen[0]?.headers).to.include({ 'x-key': 'k1', accept: 'a, b', 'content-length': '4' })
     expect(seen[0]?.url).to.equal('/records?id=1')
@@ -54,13 +54,13 @@
     expect(Buffer.from(end.answer.body).toString()).to.equal('done')
   })
 
-  // A device between agent and service forgets an idle pooled connection without closing it. The next call
-  // would hang on it; a repeatable one is sent again, and one that may not be repeated is never put on it.
-  it('is reached though an idle connection has gone silent', async function () {
+  // A device between agent and service drops an idle pooled connection without closing it. The next call on it would
+  // hang; a repeatable call is sent again, and a non-repeatable one never uses a pooled connection.
+  it('is reached although an idle connection has gone silent', async function () {
     this.timeout(8_000)
     await run('/first', true)
     const [pooled] = sockets
-    // The service's end reads no more: what is sent on this connection is lost.
+    // The service's end stops reading: data sent on this connection is lost.
     pooled?.pause()
     pooled?.removeAllListeners('data')
     respond = (request, response) => { if (request.socket !== pooled) response.end('fresh') }
@@ -72,7 +72,7 @@
     expect(answered).to.deep.equal(['/once', '/again'])
   })
 
-  it('does not get a call twice that may not be repeated', async () => {
+  it('does not receive a non-repeatable call twice', async () => {
     respond = request => { request.socket.destroy() }
     const end = await run('/bill', false)
     expect(end).to.include({ kind: 'failed', sent: true })
@@ -80,7 +80,7 @@
     expect(seen).to.have.length(1)
   })
 
-  it('that is away has got nothing', async () => {
+  it('receives nothing while it is down', async () => {
     await new Promise(resolve => server.close(resolve))
     let reached = false
     const end = await run('/bill', false, () => { reached = true })
@@ -89,7 +89,7 @@
     expect(await probeService(address, timers)).to.equal('refused')
   })
 
-  it('that broke one call off is not taken for dead', async () => {
+  it('is not considered dead after it interrupted one call', async () => {
     expect(await probeService(address, timers)).to.equal('up')
   })
 })
--- a/packages/agent/src/plain/probeService.ts
+++ b/packages/agent/src/plain/probeService.ts
@@ -4,10 +4,10 @@
 
 import type { TimerService } from '@figmount/base'
 
-/** Whether something listens at an address; `silent` when there was no answer in time. */
+/** Whether something listens at an address; `silent` if there was no answer in time. */
 export type Probe = 'up' | 'refused' | 'silent'
 
-/** Opens a connection and closes it again. */
+/** Opens a connection to the service and closes it again. */
 export const probeService = async (address: string, timers: TimerService): Promise<Probe> => await new Promise(resolve => {
   const [host = '', portText = ''] = address.split(':')
   const socket = connect({ host, port: Number(portText) })
