--- a/packages/agent/src/bench/measureHotPath.ts
+++ b/packages/agent/src/bench/measureHotPath.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what the agent process costs: processor time idle, per request and per token. Stand-ins and the router's end
- * run in this process, the agent in its own, from `dist/`. Run with `npx tsx packages/agent/src/bench/measureHotPath.ts`.
+ * Measures the processor time of the agent process: idle, per request and per token. The stand-ins and the router's end of
+ * the link run in this process, the agent in its own, from `dist/`. Run with `npx tsx packages/agent/src/bench/measureHotPath.ts`.
  */
 import { spawn } from 'node:child_process'
 import { mkdtempSync, writeFileSync } from 'node:fs'
@@ -55,7 +55,7 @@
 address = ${engine}
 services = reader
 `)
-/** Where the agent writes a processor profile; none if unset. */
+/** Directory for the CPU profile of the agent; no profile is written if unset. */
 const profileDir = process.env['FIGMOUNT_PROFILE_DIR']
 const child = spawn(process.execPath, [...(profileDir ? ['--cpu-prof', `--cpu-prof-dir=${profileDir}`] : []), 'dist/figmount-agent.mjs', '--settings', settingsFile, '--event-lines'], { stdio: ['ignore', 'pipe', 'inherit'] })
 const pid = child.pid ?? 0
--- a/packages/agent/src/bin.ts
+++ b/packages/agent/src/bin.ts
@@ -1,4 +1,4 @@
-/** Entry of `figmount-agent`. */
+/** Entry point of `figmount-agent`. */
 import { runBinary } from '@figmount/base'
 
 import { startAgent } from './agent/startAgent.js'
@@ -6,7 +6,7 @@
 
 await runBinary({
   name: 'figmount-agent',
-  summary: 'Runs beside a backend server: orders to the engine, memory, queue, permits and drain.',
+  summary: 'Runs beside a backend server: loads models, queues and runs requests, grants permits and drains.',
   role: 'agent',
   schema: agentSettings,
   instanceOf: settings => settings.process.instance,
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,4 +1,4 @@
-/** The agent beside a backend server. */
+/** The agent process that runs beside a backend server. */
 export { createAgent } from './agent/createAgent.js'
 export type { Agent } from './agent/createAgent.js'
 export { startAgent } from './agent/startAgent.js'
--- a/packages/agent/src/reporting/makeReport.ts
+++ b/packages/agent/src/reporting/makeReport.ts
@@ -15,7 +15,7 @@
   readonly running: readonly Attempt[]
   readonly pace: Pace
   readonly queuedSeconds: number
-  /** Left out for a plain service. */
+  /** Omitted for a plain service. */
   readonly engine?: {
     readonly state: EngineState
     readonly slots: ReadonlyMap<ModelId, HeldSlot>
@@ -42,7 +42,7 @@
   }
 }
 
-/** Makes the report that routers choose by. Revoked rights are left out: they get no new work. */
+/** Creates the load report from which routers choose agents. Models with a revoked right are left out: they get no new work. */
 export const makeReport = (options: Options): AgentReport => {
   const { engine, queued, running, pace } = options
   const ledger = engine?.state.ledger
--- a/packages/agent/src/settings/agentSettings.ts
+++ b/packages/agent/src/settings/agentSettings.ts
@@ -11,43 +11,43 @@
 const address = z.string('host:port').regex(/^[^\s:]+:\d{1,5}$/, 'host:port')
 const count = (fallback: number) => z.coerce.number('a number').int('a whole number').min(0).max(MAX_COUNT).default(fallback)
 
-const services = z.string('names parted by commas').transform((text, context) => {
+const services = z.string('comma-separated names').transform((text, context) => {
   const names = text.split(',').map(part => part.trim()).filter(part => part !== '')
   if (names.length > 0 && names.every(part => name.safeParse(part).success)) return names as readonly string[] as readonly ServiceName[]
-  context.addIssue({ code: 'custom', message: 'names parted by commas' })
+  context.addIssue({ code: 'custom', message: 'comma-separated names' })
   return z.NEVER
 })
 
-/** Settings of `figmount-agent`, as read from INI. */
+/** The settings file of `figmount-agent`, in INI format. */
 export const agentSettings = z.strictObject({
   process: z.strictObject({
     instance: name,
     data_centre: name,
     host: z.string('an IP number').min(1),
-    /** 0 lets the system choose. */
+    /** 0 lets the operating system choose. */
     port: z.coerce.number('a port').int('a port').min(0).max(MAX_PORT)
   }),
   platform: z.strictObject({ log: address, instance_list: address }),
   trust: z.strictObject({ shared_key: z.string('the shared key').min(1, 'the shared key') }),
   backend: z.strictObject({ kind: z.enum(['engine', 'plain'], 'engine or plain'), address, services }),
   limits: z.strictObject({
-    /** Requests that may wait. */
+    /** Maximum number of queued requests. */
     max_queued: count(Limit.queuedCount),
-    /** Memory of the engine that is set aside for KV cache and never given to models. */
+    /** Engine memory reserved for the KV cache and never used for models. */
     kv_cache_mb: count(Limit.kvCacheMb),
-    /** Calls that a plain service is given side by side. */
+    /** Maximum number of concurrent calls to a plain service. */
     plain_concurrency: count(Limit.plainConcurrency),
-    /** Memory of this process for kept answers of requests that may not be repeated. */
+    /** Memory of this process for stored answers of non-repeatable requests. */
     kept_answers_mb: count(Limit.keptAnswersMb),
-    /** Keys of requests that may not be repeated that are remembered at once. */
+    /** Maximum number of stored keys of non-repeatable requests. */
     max_keys: count(Limit.keyCount),
-    /** Time that a stop may take; what then still runs is refused as "may have run". */
+    /** Time limit of a stop; a run that is still open then is refused as "may have run". */
     drain_ms: count(Limit.drainMs)
   }).prefault({}),
   tuning: z.strictObject({
     /** Period at which the instance list is read. */
     list_ms: count(Limit.listMs),
-    /** Loads from the weight store side by side by this agent. */
+    /** Maximum number of concurrent loads from the weight store by this agent. */
     store_loads: count(Limit.storeLoadCount)
   }).prefault({})
 })
--- a/packages/agent/src/testing/createFakeEngine.ts
+++ b/packages/agent/src/testing/createFakeEngine.ts
@@ -1,4 +1,4 @@
-/** An engine in memory for tests, with the faults that tests bring about. */
+/** An in-memory engine for tests with injectable faults. */
 import { Code, ConnectError } from '@connectrpc/connect'
 import { EitherAsync } from 'purify-ts'
 import { sleep } from '@figmount/base'
@@ -9,37 +9,37 @@
 import type { ModelId, TimerService } from '@figmount/base'
 import type { Chunk, EngineClient, EngineOrder, GenerateArgs, Inventory, OrderDone, Resident } from '../engine/types.js'
 
-/** What becomes of an order. `lose`: carried out, never answered. `late`: the same, a while later. `drop`: never arrives. */
+/** The result of an order. `lose`: carried out but never answered. `late`: the same after LATE_MS. `drop`: never arrives. */
 export type OrderFate = 'answer' | 'lose' | 'late' | 'drop' | 'exhausted' | 'stale'
 
-/** How late a late order is; less than its deadline. */
+/** Delay of a late order; less than its deadline. */
 const LATE_MS = 1_500
 
-/** Knobs of the fake; tests set them at any time. */
+/** Settings and faults of the fake engine; tests change them at any time. */
 export interface EngineKnobs {
   loadMs: number
   tokenIntervalMs: number
   batchSize: number
   capacityMb: number
   isDown: boolean
-  /** Connections that are open now send nothing any more. */
+  /** Stops all data on the connections that are open now, without closing them. */
   silenceOpen: () => void
-  /** The process ends and starts anew with nothing loaded. */
+  /** Restarts the process with nothing loaded. */
   restart: () => void
   fateOf: (order: EngineOrder) => OrderFate
-  /** On a resume the stream goes back by this many tokens. */
+  /** Number of tokens that a resume repeats. */
   repeatOnResume: number
-  /** Ends the process when a prompt with this text begins to run. */
+  /** Restarts the process when a prompt that contains this text begins to run. */
   poison: string
 }
 
 export interface FakeEngine extends EngineClient {
   readonly knobs: EngineKnobs
   readonly orders: readonly EngineOrder[]
-  /** Greatest memory that was ever taken. */
+  /** Highest memory in use so far. */
   readonly peakMb: () => number
   readonly residents: () => readonly Resident[]
-  /** Runs by prompt, in order. */
+  /** Prompts of the runs in order of start. */
   readonly runs: readonly string[]
   readonly peakRunning: () => number
   readonly cancelled: readonly string[]
@@ -69,10 +69,10 @@
   signal.addEventListener('abort', fail, { once: true })
 })
 
-/** The token of a prompt at an index. */
+/** The token that the fake generates for a prompt at an index. */
 export const tokenOf = (prompt: string, index: number): string => `${prompt}.${index}`
 
-/** Makes an engine in memory. */
+/** Creates an in-memory engine. */
 export const createFakeEngine = (timers: TimerService): FakeEngine => {
   let process = 1
   let connectionEra = 0
@@ -150,7 +150,7 @@
     return await never(signal)
   }
 
-  /** The call breaks when the process ends. */
+  /** Fails the call when the process ends. */
   const orderUntilEnd = async (asked: EngineOrder, signal: AbortSignal): Promise<OrderDone> => {
     const born = process
     const call = order(asked, signal)
--- a/packages/agent/src/testing/createFakeLog.ts
+++ b/packages/agent/src/testing/createFakeLog.ts
@@ -1,4 +1,4 @@
-/** A log in memory for tests: records clients that share it fold the same records. */
+/** An in-memory log for tests: the records clients that share it fold the same records. */
 import { EitherAsync, Left, Right } from 'purify-ts'
 import { FaultKind, makeFault } from '@figmount/base'
 import { applyRecord, emptyState } from '@figmount/records'
@@ -7,20 +7,20 @@
 import type { AgreedState, FoldOutcome, LogRecord, NewRecord, PlacedRecord, RecordsClient } from '@figmount/records'
 
 export interface FakeLog {
-  /** Appends as a router would. */
+  /** Appends a record as a router would. */
   readonly write: (record: NewRecord) => FoldOutcome
   readonly state: () => AgreedState
   readonly records: readonly LogRecord[]
-  /** Whether the log can be reached. */
+  /** Whether the log is reachable. */
   isUp: boolean
-  /** Lets clients read no further for now; what is written is folded all the same. */
+  /** Pauses the clients' reads; records written meanwhile are still folded into `state`. */
   readonly pauseReads: () => void
-  /** Lets clients read on. */
+  /** Resumes the clients' reads. */
   readonly resumeReads: () => void
   readonly clientOf: (instance: InstanceName, incarnation: Incarnation) => RecordsClient
 }
 
-/** Makes a log in memory. */
+/** Creates an in-memory log. */
 export const createFakeLog = (timers: TimerService): FakeLog => {
   let state = emptyState
   let idCount = 0
--- a/packages/agent/src/testing/startAgentForTest.ts
+++ b/packages/agent/src/testing/startAgentForTest.ts
@@ -1,4 +1,4 @@
-/** An agent in virtual time between a fake log, a fake engine and fake routers. */
+/** Runs an agent in virtual time with a fake log, a fake engine and fake routers. */
 import { createEventLog, createMetrics, createVirtualTimers } from '@figmount/base'
 import { accountNothing, admitUntilFull, allAhead, evictLeastRecent, keepFixedTime, limitNothing, orderByArrival, pickFirstCome, retryAfterFixed, shedNothing } from '@figmount/decisions'
 import { createInbox } from '@figmount/peers'
@@ -26,7 +26,7 @@
   name, versions: ['v1', 'v2'], currentVersion: 'v1', minReplicas: 0, maxReplicas: 2, memoryMb: 400, checkpointMb: 100, ...more
 })
 
-/** A router's end of a link. */
+/** The router's end of a link. */
 export interface FakeRouter {
   readonly send: (message: RouterToAgentMessage) => void
   readonly received: readonly AgentToRouterMessage[]
@@ -89,7 +89,7 @@
   }
 }
 
-/** Starts an agent that has announced itself beside a service `reader`. */
+/** Starts an agent for the service `reader` and waits until it has announced itself. */
 export const startAgentForTest = async (options: Options = {}): Promise<AgentUnderTest> => {
   const timers = createVirtualTimers(START_UNIX_MS)
   const engine = createFakeEngine(timers)
