--- a/packages/agent/src/agent/createAgent.ts
+++ b/packages/agent/src/agent/createAgent.ts
@@ -84,7 +84,7 @@
     for (const loadRequest of loadRequests.current()) {
       const version = loadRequest.version === '' ? engineBackend.planOf(loadRequest.model)?.spec.currentVersion ?? '' : loadRequest.version
       const slot = findSlot(engineBackend.loader.state(), loadRequest.model)
-      if (slot.phase === 'ready' && slot.version === version) loadRequests.remove(loadRequest.model)
+      if (slot.phase === 'ready' && slot.version === version) loadRequests.settle(loadRequest.model)
       else open.push({ ...loadRequest, version })
     }
     return open
@@ -183,7 +183,7 @@
 
   const onStateChange = (): void => {
     drain.update()
-    startHold.recheck()
+    startHold.review()
     dispatcher.schedulePump()
   }
 
--- a/packages/agent/src/links/createStartHold.ts
+++ b/packages/agent/src/links/createStartHold.ts
@@ -28,7 +28,7 @@
   /** Discards a held start, which then never runs. */
   readonly drop: (attemptId: AttemptId) => void
   /** Checks the held starts again after the agreed state has changed. */
-  readonly recheck: () => void
+  readonly review: () => void
 }
 
 /**
@@ -67,7 +67,7 @@
       timers.after(HOLD_MS, () => releaseIfHeld(attemptId, entry))
     },
     drop: attemptId => { held.delete(attemptId) },
-    recheck: () => {
+    review: () => {
       for (const entry of [...held.values()]) {
         if (!isBehind() || !refusalByState(entry.start)) release(entry)
       }
--- a/packages/agent/src/queueing/createLoadRequests.ts
+++ b/packages/agent/src/queueing/createLoadRequests.ts
@@ -17,7 +17,7 @@
   /** Adds the model of a request that was refused because the model becomes ready too late for it. */
   readonly add: (request: Pick<RunRequest, 'model' | 'version' | 'adapter' | 'priority'>) => void
   /** Removes the entry of a model that is ready. */
-  readonly remove: (model: ModelId) => void
+  readonly settle: (model: ModelId) => void
   readonly current: () => readonly LoadRequest[]
 }
 
@@ -26,13 +26,13 @@
  *
  * Without it, a model whose load takes longer, or is assumed to take longer, than its callers' deadlines is never
  * served: every request is refused before the load begins, none is queued, so nothing is loaded and the assumption is
- * never corrected. Callers would retry indefinitely. The refusal is still immediate; the load proceeds without the
- * request, and the resend finds the model ready.
+ * never corrected. Callers would retry indefinitely.
+ * The refusal stays immediate; the load goes on without it and the resend finds the model ready.
  */
 export const createLoadRequests = (timers: TimerService): LoadRequests => {
   const requests = new Map<ModelId, LoadRequest>()
 
-  const dropExpired = (): void => {
+  const dropOld = (): void => {
     const oldestMs = timers.nowMs() - LOAD_REQUEST_KEEP_MS
     for (const request of requests.values()) {
       if (request.askedAtMs < oldestMs) requests.delete(request.model)
@@ -46,9 +46,9 @@
       const highest = Math.max(priority, known?.priority ?? 0)
       requests.set(model, { model, version, adapter, priority: highest, askedAtMs: timers.nowMs() })
     },
-    remove: model => { requests.delete(model) },
+    settle: model => { requests.delete(model) },
     current: () => {
-      dropExpired()
+      dropOld()
       return [...requests.values()]
     }
   }
