--- a/packages/agent/src/agent/createAdmission.ts
+++ b/packages/agent/src/agent/createAdmission.ts
@@ -81,8 +81,8 @@
   /** Why the request cannot be admitted now. It has not run through this agent. */
   const findRefusal = (attempt: Pick<Attempt, 'request'>): RefusalNote | undefined => {
     const { request } = attempt
-    const notReady = refusalByReadiness(attempt)
-    if (notReady) return notReady
+    const readinessRefusal = refusalByReadiness(attempt)
+    if (readinessRefusal) return readinessRefusal
     if (options.isDraining()) return notRun({ reason: RefusalReason.STOPPING, detail: 'the agent is leaving', step: 'leaving.refuse', peer: instance })
     const refusal = backend.refusalFor(attempt)
     if (refusal) return refusal
@@ -144,7 +144,7 @@
     dispatcher.schedulePump()
   }
 
-  const take = (id: AttemptId, start: Start, subscriber: Subscriber): Attempt => {
+  const addAttempt = (id: AttemptId, start: Start, subscriber: Subscriber): Attempt => {
     const attempt = attempts.add(id, start.request)
     attempts.subscribe(id, start.attemptId, subscriber, 0)
     return attempt
@@ -163,7 +163,7 @@
 
   const startOnce = (start: Start, subscriber: Subscriber): void => {
     const decision = decideOnce(start)
-    const attempt = take(typeof decision === 'string' ? decision : start.attemptId, start, subscriber)
+    const attempt = addAttempt(typeof decision === 'string' ? decision : start.attemptId, start, subscriber)
     if (typeof decision === 'string') enqueue(attempt)
     else attempts.refuse(attempt.id, decision)
   }
@@ -177,7 +177,7 @@
       return
     }
     if (!start.request.repeatable) return startOnce(start, subscriber)
-    const attempt = take(start.attemptId, start, subscriber)
+    const attempt = addAttempt(start.attemptId, start, subscriber)
     const refusal = findRefusal(attempt)
     if (refusal) attempts.refuse(attempt.id, refusal)
     else enqueue(attempt)
--- a/packages/agent/src/agent/createAgent.ts
+++ b/packages/agent/src/agent/createAgent.ts
@@ -50,7 +50,7 @@
   readonly linkContext: LinkContext
   readonly runLink: (link: RouterLink) => Promise<void>
   readonly report: () => AgentReport
-  /** Refuses new work, finishes what is running and queued, and stops. */
+  /** Refuses new work, finishes running and queued work, and stops. */
   readonly stop: () => Promise<void>
 }
 
--- a/packages/agent/src/agent/createDispatcher.ts
+++ b/packages/agent/src/agent/createDispatcher.ts
@@ -81,7 +81,7 @@
 
 /** Refusal of a run that ends before its answer is complete; the run state depends on whether bytes were sent. */
 const refusalForRun = (attempt: Attempt, options: Parameters<typeof ran>[0]): RefusalNote =>
-  attempt.reached ? ran(options) : mayHaveRun(options)
+  attempt.isSent ? ran(options) : mayHaveRun(options)
 
 /** Creates the dispatcher of one agent. */
 export const createDispatcher = (options: Options): Dispatcher => {
@@ -169,9 +169,9 @@
     let lastTokenMs = startedMs
     let prefillMs: number | undefined
     const task = backend.run(attempt, version, {
-      onReach: () => {
-        if (attempt.reached) return
-        attempts.markReached(attempt.id)
+      onSent: () => {
+        if (attempt.isSent) return
+        attempts.markSent(attempt.id)
         events.emit(AgentEvent.engineRunStarted, { ...attemptFields(attempt), version })
       },
       onTokens: (firstTokenIndex, tokens) => {
--- a/packages/agent/src/attempts/createAttemptStore.ts
+++ b/packages/agent/src/attempts/createAttemptStore.ts
@@ -112,7 +112,7 @@
         deadlineAtMs,
         keepUntilMs,
         phase: 'waiting',
-        reached: false,
+        isSent: false,
         tokenCount: request.doneTokens.length,
         version: '',
         startedAtMs: 0,
@@ -178,9 +178,9 @@
       entry.version = version
       entry.startedAtMs = timers.nowMs()
     },
-    markReached: id => {
+    markSent: id => {
       const entry = entries.get(id)
-      if (entry) entry.reached = true
+      if (entry) entry.isSent = true
     },
     addTokens: (id, firstTokenIndex, tokens) => {
       const entry = findOpen(id)
--- a/packages/agent/src/attempts/entry.ts
+++ b/packages/agent/src/attempts/entry.ts
@@ -12,7 +12,7 @@
   readonly deadlineAtMs: number
   readonly keepUntilMs: number
   phase: AttemptPhase
-  reached: boolean
+  isSent: boolean
   tokenCount: number
   refusal?: RefusalNote
   version: string
--- a/packages/agent/src/attempts/types.ts
+++ b/packages/agent/src/attempts/types.ts
@@ -26,7 +26,7 @@
   readonly keepUntilMs: number
   readonly phase: AttemptPhase
   /** True once a byte may have been sent to the backend server. */
-  readonly reached: boolean
+  readonly isSent: boolean
   readonly tokenCount: number
   readonly refusal?: RefusalNote
   /** Model version that produces the answer. */
@@ -60,7 +60,7 @@
   /** Drops frames that every listener has acknowledged; those of a non-repeatable request are stored for resends of its key. */
   readonly acknowledge: (asId: AttemptId, belowFrame: number, subscriber: Subscriber) => void
   readonly start: (id: AttemptId, version: string) => void
-  readonly markReached: (id: AttemptId) => void
+  readonly markSent: (id: AttemptId) => void
   readonly addTokens: (id: AttemptId, firstTokenIndex: number, tokens: readonly string[]) => void
   readonly finish: (id: AttemptId, finishReason: FinishReason, plain?: PlainAnswer) => void
   readonly refuse: (id: AttemptId, refusal: RefusalNote) => void
--- a/packages/agent/src/authority/judgeAuthority.ts
+++ b/packages/agent/src/authority/judgeAuthority.ts
@@ -21,8 +21,8 @@
  *
  * A holder that was paused or partitioned while its right was granted to another agent would load one replica too
  * many. Its last confirmed read is then older than AUTHORITY_MS. Within that time no other agent can have been granted
- * the right, because a void is followed by a longer wait of log time. While the log is unreachable nobody can append a
- * void, so the holder of a replica may continue. The outage counts as confirmed only after the process has run long
+ * the right, because a void is followed by a longer wait of log time. While the log is unreachable no process can append
+ * a void, so the holder of a replica may continue. The outage counts as confirmed only after the process has run long
  * enough for a read sent after a pause to succeed or fail.
  */
 export const judgeAuthority = (view: AuthorityView): Authority => {
--- a/packages/agent/src/engine/createEngineWatch.ts
+++ b/packages/agent/src/engine/createEngineWatch.ts
@@ -55,7 +55,7 @@
     onChange()
   }
 
-  const accept = (inventory: Inventory, askedAtMs: number): void => {
+  const acceptInventory = (inventory: Inventory, askedAtMs: number): void => {
     const isNew = last?.incarnation !== inventory.incarnation
     if (last && isNew) reportDeath(last.incarnation)
     last = inventory
@@ -72,7 +72,7 @@
     const askedAtMs = timers.nowMs()
     const answer = await engine.inventory().run()
     isRefreshing = false
-    answer.caseOf({ Left: reportFault, Right: inventory => accept(inventory, askedAtMs) })
+    answer.caseOf({ Left: reportFault, Right: inventory => acceptInventory(inventory, askedAtMs) })
   }
 
   const stop = timers.every(INVENTORY_MS, () => runInBackground(events, 'engine.inventory', refresh()))
--- a/packages/agent/src/engine/runStream.ts
+++ b/packages/agent/src/engine/runStream.ts
@@ -66,7 +66,7 @@
   let failingSinceMs: number | undefined
   let failureCount = 0
 
-  const take = (chunk: Chunk): Fault | undefined => {
+  const acceptChunk = (chunk: Chunk): Fault | undefined => {
     hasReceivedChunk = true
     failingSinceMs = undefined
     failureCount = 0
@@ -89,7 +89,7 @@
     try {
       for await (const chunk of open(controller.signal)) {
         lastReceivedMs = timers.nowMs()
-        const gap = take(chunk)
+        const gap = acceptChunk(chunk)
         if (gap) return onEnd({ kind: 'broken', thrown: undefined, fault: gap })
         if (chunk.last) onEnd({ kind: 'last', finishReason: chunk.finishReason })
       }
--- a/packages/agent/src/links/createLinkRegistry.ts
+++ b/packages/agent/src/links/createLinkRegistry.ts
@@ -1,4 +1,4 @@
-import { BEHIND_MS } from './constants.js'
+import { LAG_TOLERANCE_MS } from './constants.js'
 
 import type { LogOffset, TimerService } from '@figmount/base'
 import type { AgentToRouterMessage, Link, RouterToAgentMessage } from '@figmount/peers'
@@ -56,7 +56,7 @@
       if (offset <= own) return
       const nowMs = timers.nowMs()
       lag ??= { sinceMs: nowMs, askedAtMs: nowMs }
-      if (nowMs - lag.sinceMs < BEHIND_MS || nowMs - lag.askedAtMs < BEHIND_MS) return
+      if (nowMs - lag.sinceMs < LAG_TOLERANCE_MS || nowMs - lag.askedAtMs < LAG_TOLERANCE_MS) return
       lag = { ...lag, askedAtMs: nowMs }
       requestRecords(peer, own)
     }
--- a/packages/agent/src/links/createStartHold.test.ts
+++ b/packages/agent/src/links/createStartHold.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai'
 
 import { MODEL, modelSpec, startAgentForTest } from '../testing/startAgentForTest.js'
-import { HOLD_MS } from './constants.js'
+import { START_HOLD_MS } from './constants.js'
 
 import type { AttemptId, LogOffset, ModelId } from '@figmount/base'
 import type { AgentUnderTest, FakeRouter } from '../testing/startAgentForTest.js'
@@ -61,7 +61,7 @@
   it('is refused after the hold time if the records do not arrive', async () => {
     const { under, router } = await startBehind()
     router.start('a')
-    await under.advance(HOLD_MS + 50)
+    await under.advance(START_HOLD_MS + 50)
     expect(router.refusalOf('a')).to.include({ runState: RunState.NOT_RUN, reason: RefusalReason.UNAVAILABLE })
   })
 
@@ -76,7 +76,7 @@
   it('waits no longer than its deadline allows', async () => {
     const { under, router } = await startBehind()
     router.start('a', { remainingMs: 300 })
-    await under.advance(HOLD_MS / 2)
+    await under.advance(START_HOLD_MS / 2)
     under.log.resumeReads()
     await under.advance(100)
     expect(router.refusalOf('a')).to.include({ runState: RunState.NOT_RUN, reason: RefusalReason.DEADLINE })
--- a/packages/agent/src/links/createStartHold.ts
+++ b/packages/agent/src/links/createStartHold.ts
@@ -1,5 +1,5 @@
 import { AgentEvent } from '../events.js'
-import { HOLD_MS } from './constants.js'
+import { START_HOLD_MS } from './constants.js'
 
 import type { AttemptId, LogOffset } from '@figmount/base'
 import type { RefusalNote, RunRequest } from '@figmount/peers'
@@ -64,7 +64,7 @@
       if (held.size === 0) subscriber.send({ type: 'records.ask', fromOffset: records.state().nextOffset })
       held.set(attemptId, entry)
       events.emit(AgentEvent.startHeld, { attemptId, caller: request.caller, requestKey: request.requestKey, model: request.model, offset: highestOffset() })
-      timers.after(HOLD_MS, () => releaseIfHeld(attemptId, entry))
+      timers.after(START_HOLD_MS, () => releaseIfHeld(attemptId, entry))
     },
     drop: attemptId => { held.delete(attemptId) },
     review: () => {
--- a/packages/agent/src/loading/followOrder.ts
+++ b/packages/agent/src/loading/followOrder.ts
@@ -58,7 +58,7 @@
 /**
  * Sends an order and determines its result; resolves only with a confirmed result, or undefined when `signal` aborts.
  * The inventory is also read while the answer is pending: if the connection goes silent during a long load, the agent
- * would otherwise never learn that the model is ready. A refusal is checked against the inventory as well, because
+ * would otherwise never detect that the model is ready. A refusal is checked against the inventory as well, because
  * the engine refuses a duplicate of an order that took effect.
  */
 export const followOrder = async (options: Options): Promise<OrderOutcome | undefined> => {
--- a/packages/agent/src/plain/callPlain.ts
+++ b/packages/agent/src/plain/callPlain.ts
@@ -2,7 +2,7 @@
 import { FaultKind, faultFrom, makeFault } from '@figmount/base'
 
 import { isConnectFailure } from '../engine/engineFaults.js'
-import { DIAL_TIMEOUT_MS, HOP_BY_HOP_HEADERS, IDLE_SOCKET_MS, MAX_ANSWER_BYTES, POOLED_SILENCE_MS } from './constants.js'
+import { CONNECT_TIMEOUT_MS, HOP_BY_HOP_HEADERS, IDLE_SOCKET_MS, MAX_ANSWER_BYTES, POOLED_SILENCE_MS } from './constants.js'
 
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Fault, TimerService } from '@figmount/base'
@@ -17,7 +17,7 @@
   readonly call: PlainCall
   readonly repeatable: boolean
   readonly signal: AbortSignal
-  readonly onReach: () => void
+  readonly onSent: () => void
 }
 
 /** Forwards a call to a plain service. */
@@ -70,7 +70,7 @@
   const [host = '', portText = ''] = address.split(':')
   const fail = faultFrom('plain.call', address)
 
-  const callOnce = async ({ call, signal, onReach }: CallOptions, agent: Agent): Promise<CallEnd & { readonly onReused: boolean }> => {
+  const callOnce = async ({ call, signal, onSent }: CallOptions, agent: Agent): Promise<CallEnd & { readonly onReused: boolean }> => {
     let sent = false
     let request: ClientRequest | undefined
     let stopWatching = (): void => {}
@@ -84,12 +84,12 @@
         opened.once('socket', socket => {
           const write = (): void => {
             sent = true
-            onReach()
+            onSent()
             opened.end(call.body)
             if (opened.reusedSocket) stopWatching = timers.after(POOLED_SILENCE_MS, () => opened.destroy(new Error('pooled connection is silent')))
           }
           if (!socket.connecting) return write()
-          stopWatching = timers.after(DIAL_TIMEOUT_MS, () => {
+          stopWatching = timers.after(CONNECT_TIMEOUT_MS, () => {
             if (!sent) opened.destroy(new Error('ECONNREFUSED: no connection in time'))
           })
           socket.once('connect', () => {
--- a/packages/agent/src/plain/constants.ts
+++ b/packages/agent/src/plain/constants.ts
@@ -5,7 +5,7 @@
 export const IDLE_SOCKET_MS = 2_000
 
 /** Connect timeout of a plain service. */
-export const DIAL_TIMEOUT_MS = 1_500
+export const CONNECT_TIMEOUT_MS = 1_500
 
 /** Largest answer of a plain service that is forwarded. */
 export const MAX_ANSWER_BYTES = 3 * 1024 * 1024
--- a/packages/agent/src/plain/plain.test.ts
+++ b/packages/agent/src/plain/plain.test.ts
@@ -22,8 +22,8 @@
   const sockets = new Set<Socket>()
   let respond: (request: IncomingMessage, response: ServerResponse) => void
 
-  const run = async (path: string, repeatable: boolean, onReach = (): void => {}): Promise<CallEnd> =>
-    await call({ call: callOf(path, 'body'), repeatable, signal: new AbortController().signal, onReach })
+  const run = async (path: string, repeatable: boolean, onSent = (): void => {}): Promise<CallEnd> =>
+    await call({ call: callOf(path, 'body'), repeatable, signal: new AbortController().signal, onSent })
 
   beforeEach(async () => {
     seen.length = 0
@@ -82,10 +82,10 @@
 
   it('receives nothing while it is down', async () => {
     await new Promise(resolve => server.close(resolve))
-    let reached = false
-    const end = await run('/bill', false, () => { reached = true })
+    let isSent = false
+    const end = await run('/bill', false, () => { isSent = true })
     expect(end).to.include({ kind: 'failed', sent: false })
-    expect(reached).to.equal(false)
+    expect(isSent).to.equal(false)
     expect(await probeService(address, timers)).to.equal('refused')
   })
 
--- a/packages/agent/src/plain/probeService.ts
+++ b/packages/agent/src/plain/probeService.ts
@@ -1,6 +1,6 @@
 import { connect } from 'node:net'
 
-import { DIAL_TIMEOUT_MS } from './constants.js'
+import { CONNECT_TIMEOUT_MS } from './constants.js'
 
 import type { TimerService } from '@figmount/base'
 
@@ -16,7 +16,7 @@
     socket.destroy()
     resolve(probe)
   }
-  const cancel = timers.after(DIAL_TIMEOUT_MS, () => end('silent'))
+  const cancel = timers.after(CONNECT_TIMEOUT_MS, () => end('silent'))
   socket.once('connect', () => end('up'))
   socket.once('error', (error: NodeJS.ErrnoException) => end(error.code === 'ECONNREFUSED' ? 'refused' : 'silent'))
 })
--- a/packages/agent/src/running/runOnEngine.ts
+++ b/packages/agent/src/running/runOnEngine.ts
@@ -40,13 +40,13 @@
       doneTokens: request.doneTokens
     },
     onTokens: (firstTokenIndex, tokens) => {
-      hooks.onReach()
+      hooks.onSent()
       hooks.onTokens(firstTokenIndex, tokens)
     },
     onResume: fault => events.emit(AgentEvent.streamResumed, { attemptId: id, model: request.model, peer: fault.peer, reason: fault.message })
   })
   // Whether a connection was made is only known at the end.
-  if (end.kind !== 'unreached' && end.kind !== 'rejected') hooks.onReach()
+  if (end.kind !== 'unreached' && end.kind !== 'rejected') hooks.onSent()
   return match(end)
     .returnType<RunEnd>()
     .with({ kind: 'finished' }, ({ finishReason }) => ({ kind: 'finished', finishReason }))
--- a/packages/agent/src/running/runOnPlain.ts
+++ b/packages/agent/src/running/runOnPlain.ts
@@ -22,7 +22,7 @@
   const { plain, repeatable } = attempt.request
   if (!plain) return { kind: 'notRun', fault: missingCallFault(address), isBackendDown: false }
   const startedOn = incarnation()
-  const end = await callPlain({ call: plain, repeatable, signal, onReach: hooks.onReach })
+  const end = await callPlain({ call: plain, repeatable, signal, onSent: hooks.onSent })
   if (end.kind === 'answered') return { kind: 'finished', finishReason: FinishReason.STOP, plain: end.answer }
   if (!end.sent) return { kind: 'notRun', fault: end.fault, isBackendDown: isServiceDown(end.fault) }
   if (signal.aborted) return { kind: 'cancelled' }
--- a/packages/agent/src/running/types.ts
+++ b/packages/agent/src/running/types.ts
@@ -15,7 +15,7 @@
 /** Callbacks during a run. */
 export interface RunHooks {
   /** Called when a byte was or may have been sent; repeated calls have no effect. */
-  readonly onReach: () => void
+  readonly onSent: () => void
   readonly onTokens: (firstTokenIndex: number, tokens: readonly string[]) => void
 }
 
--- a/packages/agent/src/testing/createFakeEngine.ts
+++ b/packages/agent/src/testing/createFakeEngine.ts
@@ -112,7 +112,7 @@
   }
 
   const carryOut = async (order: EngineOrder): Promise<OrderDone> => {
-    const born = process
+    const initialProcess = process
     const resident = residents.get(order.model)
     if (order.kind === 'load') {
       if (resident && resident.version !== order.version) throw new ConnectError('another version is resident', Code.FailedPrecondition)
@@ -121,10 +121,10 @@
       put({ model, version, fence, memoryMb, state: 'loading', adapters: [] })
       await sleep(timers, knobs.loadMs)
       const current = residents.get(order.model)
-      if (born === process && current) put({ ...current, state: 'ready' })
+      if (initialProcess === process && current) put({ ...current, state: 'ready' })
     } else if (order.kind === 'unload') {
       await sleep(timers, 10)
-      if (born === process) residents.delete(order.model)
+      if (initialProcess === process) residents.delete(order.model)
     } else if (order.kind === 'loadAdapter') {
       if (resident?.state !== 'ready') throw new ConnectError('the model is not resident', Code.FailedPrecondition)
       const { adapter, memoryMb } = order
@@ -152,10 +152,10 @@
 
   /** Fails the call when the process ends. */
   const orderUntilEnd = async (asked: EngineOrder, signal: AbortSignal): Promise<OrderDone> => {
-    const born = process
+    const initialProcess = process
     const call = order(asked, signal)
     call.catch(() => {})
-    const isAlive = (): boolean => born === process && !knobs.isDown
+    const isAlive = (): boolean => initialProcess === process && !knobs.isDown
     while (isAlive()) {
       const ended = await Promise.race([call.then(() => true, () => true), sleep(timers, 10).then(() => false)])
       if (ended) return await call
