--- a/packages/agent/src/once/once.test.ts
+++ b/packages/agent/src/once/once.test.ts
@@ -50,7 +50,7 @@
   caller: aRequest(0).caller, requestKey: 'k1' as RequestKey, attemptId: id as AttemptId, executor: 'agent-1' as InstanceName, executorIncarnation: under.incarnation, keysHolder: 'agent-2' as InstanceName, keysFence: 9 as LogOffset, ...more
 })
 
-describe('once', () => {
+describe('agent that permits non-repeatable requests', () => {
   it('decides on keys by tenure, age and authority', () => {
     expect(stateOf({})).to.equal('grant')
     expect(stateOf({ issuedAtMs: 56_999 })).to.equal(RunState.MAY_HAVE_RUN)
