--- a/packages/agent/src/engine/createEngineWatch.ts
+++ b/packages/agent/src/engine/createEngineWatch.ts
@@ -9,17 +9,17 @@
   readonly engine: EngineClient
   readonly timers: TimerService
   readonly events: EventLog
-  /** Called with each inventory and when it was asked for. */
+  /** Called with each inventory and the time at which it was requested. */
   readonly onInventory: (inventory: Inventory, askedAtMs: number) => void
   /** Called once for each incarnation of the engine that has ended. */
   readonly onDeath: (incarnation: string) => void
   readonly onChange: () => void
 }
 
-/** What is known of the engine as a process. */
+/** The state of the engine process as last observed. */
 export interface EngineWatch {
   readonly isUp: () => boolean
-  /** The last inventory, undefined before the first. */
+  /** The last inventory; undefined before the first. */
   readonly last: () => Inventory | undefined
   readonly reportDeath: (incarnation: string) => void
   readonly reportFault: (fault: Fault) => void
@@ -28,20 +28,20 @@
 }
 
 /**
- * Asks the engine at intervals what it holds.
+ * Reads the engine's inventory at intervals.
  *
- * Guards against an engine that ends and starts anew unnoticed: the agent would go on believing that models are
- * loaded. It shows as another incarnation in the inventory.
+ * Without it, a restart of the engine could go unnoticed and the agent would assume that its models are still loaded.
+ * A restart shows as a new incarnation in the inventory.
  */
 export const createEngineWatch = ({ engine, timers, events, onInventory, onDeath, onChange }: Options): EngineWatch => {
   let last: Inventory | undefined
   let isUp = false
-  let isAsking = false
-  const dead = new Set<string>()
+  let isRefreshing = false
+  const deadIncarnations = new Set<string>()
 
   const reportDeath = (incarnation: string): void => {
-    if (incarnation === '' || dead.has(incarnation)) return
-    dead.add(incarnation)
+    if (incarnation === '' || deadIncarnations.has(incarnation)) return
+    deadIncarnations.add(incarnation)
     if (last?.incarnation === incarnation) isUp = false
     events.emit(AgentEvent.engineDied, { peer: engine.address, detail: incarnation })
     onDeath(incarnation)
@@ -55,7 +55,7 @@
     onChange()
   }
 
-  const take = (inventory: Inventory, askedAtMs: number): void => {
+  const acceptInventory = (inventory: Inventory, askedAtMs: number): void => {
     const isNew = last?.incarnation !== inventory.incarnation
     if (last && isNew) reportDeath(last.incarnation)
     last = inventory
@@ -67,12 +67,12 @@
   }
 
   const refresh = async (): Promise<void> => {
-    if (isAsking) return
-    isAsking = true
+    if (isRefreshing) return
+    isRefreshing = true
     const askedAtMs = timers.nowMs()
     const answer = await engine.inventory().run()
-    isAsking = false
-    answer.caseOf({ Left: reportFault, Right: inventory => take(inventory, askedAtMs) })
+    isRefreshing = false
+    answer.caseOf({ Left: reportFault, Right: inventory => acceptInventory(inventory, askedAtMs) })
   }
 
   const stop = timers.every(INVENTORY_MS, () => runInBackground(events, 'engine.inventory', refresh()))
--- a/packages/agent/src/links/createLinkBook.ts
+++ b/packages/agent/src/links/createLinkRegistry.ts
@@ -1,4 +1,4 @@
-import { BEHIND_MS } from './constants.js'
+import { LAG_TOLERANCE_MS } from './constants.js'
 
 import type { LogOffset, TimerService } from '@figmount/base'
 import type { AgentToRouterMessage, Link, RouterToAgentMessage } from '@figmount/peers'
@@ -11,26 +11,26 @@
 }
 
 /** The open connections from routers. */
-export interface LinkBook {
+export interface LinkRegistry {
   readonly add: (link: RouterLink) => void
   readonly remove: (link: RouterLink) => void
   readonly sendAll: (message: AgentToRouterMessage) => void
   readonly closeAll: (reason: string) => void
   readonly count: () => number
   readonly bufferedBytes: () => number
-  /** Notes how far a peer has read, and asks it for records when it stays ahead. */
+  /** Records a peer's log offset, and requests its records if it stays ahead. */
   readonly notePeerOffset: (peer: string, offset: LogOffset) => void
-  /** The highest offset that a peer has told. */
+  /** The highest log offset reported by a peer. */
   readonly highestOffset: () => LogOffset
 }
 
-/** Makes the book of open links. */
-export const createLinkBook = (timers: TimerService, ownOffset: () => LogOffset): LinkBook => {
+/** Creates the registry of open links. */
+export const createLinkRegistry = (timers: TimerService, ownOffset: () => LogOffset): LinkRegistry => {
   const links = new Set<RouterLink>()
   let lag: Lag | undefined
   let highest = ownOffset()
 
-  const ask = (peer: string, fromOffset: LogOffset): void => {
+  const requestRecords = (peer: string, fromOffset: LogOffset): void => {
     for (const link of links) {
       if (link.peer !== peer) continue
       link.send({ type: 'records.ask', fromOffset })
@@ -56,9 +56,9 @@
       if (offset <= own) return
       const nowMs = timers.nowMs()
       lag ??= { sinceMs: nowMs, askedAtMs: nowMs }
-      if (nowMs - lag.sinceMs < BEHIND_MS || nowMs - lag.askedAtMs < BEHIND_MS) return
+      if (nowMs - lag.sinceMs < LAG_TOLERANCE_MS || nowMs - lag.askedAtMs < LAG_TOLERANCE_MS) return
       lag = { ...lag, askedAtMs: nowMs }
-      ask(peer, own)
+      requestRecords(peer, own)
     }
   }
 }
--- a/packages/agent/src/loading/planOrders.ts
+++ b/packages/agent/src/loading/planOrders.ts
@@ -1,5 +1,5 @@
 import { viewResidents } from '../eviction/viewResidents.js'
-import { LEAST_STAY_MS } from '../keepalive/constants.js'
+import { MIN_KEEP_MS } from '../keepalive/constants.js'
 import { viewIdle } from '../keepalive/viewIdle.js'
 import { freeMb } from '../memory/ledger.js'
 import { UNUSED_KEEP_MS } from './constants.js'
@@ -10,15 +10,15 @@
 import type { EngineOrder } from '../engine/types.js'
 import type { Demand, EngineState, HeldSlot, ModelPlan, Slot } from './types.js'
 
-/** What the next orders are chosen from. */
+/** Inputs for planning the next orders. */
 export interface PlanView {
   readonly state: EngineState
   readonly nowMs: number
   readonly rights: ReadonlyMap<ModelId, HeldSlot>
   readonly demands: ReadonlyMap<ModelId, Demand>
-  /** The model as configured; undefined when it is not. */
+  /** Configuration of a model; undefined if it is not configured. */
   readonly planOf: (model: ModelId) => ModelPlan | undefined
-  /** False while the agent's authority is in doubt. */
+  /** False while the agent may not act on its rights. */
   readonly mayLoad: boolean
   readonly draining: boolean
   readonly maxStoreLoads: number
@@ -27,17 +27,17 @@
   readonly orderLoads: OrderLoads
 }
 
-/** Orders to send and the state with their reservations made. */
+/** Orders to send, and the state with their reservations. */
 export interface OrderPlan {
   readonly orders: readonly EngineOrder[]
   readonly state: EngineState
 }
 
-const unloadOf = (slot: Slot, right: HeldSlot | undefined): EngineOrder =>
+const makeUnload = (slot: Slot, right: HeldSlot | undefined): EngineOrder =>
   ({ kind: 'unload', model: slot.model, fence: Math.max(slot.fence, right?.fence ?? 0) })
 
-/** False for a slot above a bound that the configuration has lowered since its grant. */
-const isWithinBound = (right: HeldSlot, { spec }: ModelPlan): boolean => right.slotIndex < spec.maxReplicas
+/** False if the configuration lowered `maxReplicas` below this slot after the grant. */
+const isWithinMaxReplicas = (right: HeldSlot, { spec }: ModelPlan): boolean => right.slotIndex < spec.maxReplicas
 
 const isPinned = (view: PlanView, model: ModelId): boolean => {
   const right = view.rights.get(model)
@@ -45,8 +45,8 @@
   return right !== undefined && !right.revoked && plan !== undefined && right.slotIndex < plan.spec.minReplicas
 }
 
-/** Share of the memory that models which are waited for would take if they could. */
-const pressureOf = (view: PlanView): number => {
+/** Fraction of the memory that cold models with waiting requests need. */
+const memoryPressureOf = (view: PlanView): number => {
   let wantedMb = 0
   for (const [model, demand] of view.demands) {
     if (demand.waitingCount === 0 || findSlot(view.state, model).phase !== 'cold') continue
@@ -56,28 +56,28 @@
 }
 
 /**
- * Guards against a load for nothing: callers that were refused while the model loaded have not come back yet,
- * and keep-alive, which counts from the last use, would unload it in the moment in which it gets ready.
+ * True for a model that was loaded recently and not used yet. Callers that were refused during the load have not
+ * retried yet, and keep-alive, which counts from the last use, would unload the model as soon as it is ready.
  */
-const isNew = (slot: Slot, nowMs: number): boolean =>
+const isUnusedSinceLoad = (slot: Slot, nowMs: number): boolean =>
   slot.lastUsedMs <= slot.orderedAtMs && nowMs - slot.changedAtMs < UNUSED_KEEP_MS
 
-/** True when a resident model has to go for another reason than space. */
-const mustUnload = (view: PlanView, slot: Slot): boolean => {
+/** True if a loaded model has to be unloaded for a reason other than memory. */
+const shouldUnload = (view: PlanView, slot: Slot): boolean => {
   const demand = view.demands.get(slot.model)
   if ((demand?.runningCount ?? 0) > 0) return false
   const right = view.rights.get(slot.model)
   const plan = view.planOf(slot.model)
-  if (!right || right.revoked || !plan || !isWithinBound(right, plan)) return true
-  // One replica is one version: the old one is unloaded before the new one is loaded.
+  if (!right || right.revoked || !plan || !isWithinMaxReplicas(right, plan)) return true
+  // A replica has one version: the old version is unloaded before the new one is loaded.
   const isWaitedFor = (demand?.waitingCount ?? 0) > 0
   if (slot.version !== (isWaitedFor && demand ? demand.version : plan.spec.currentVersion)) return true
   if (isWaitedFor || isPinned(view, slot.model)) return false
-  if (isNew(slot, view.nowMs) || idleForMs(slot, view.nowMs) < LEAST_STAY_MS) return false
-  return view.keepAlive(viewIdle(view.state, slot, plan, pressureOf(view), view.nowMs)) <= 0
+  if (isUnusedSinceLoad(slot, view.nowMs) || idleForMs(slot, view.nowMs) < MIN_KEEP_MS) return false
+  return view.keepAlive(viewIdle(view.state, slot, plan, memoryPressureOf(view), view.nowMs)) <= 0
 }
 
-/** Adapters that the configuration no longer has, or no longer for this slot. */
+/** Unloads adapters that the configuration has removed or no longer allows in this slot. */
 const adapterUnloads = (view: PlanView, slot: Slot): readonly EngineOrder[] => {
   const right = view.rights.get(slot.model)
   const plan = view.planOf(slot.model)
@@ -95,7 +95,7 @@
   const orders: EngineOrder[] = []
   for (const slot of view.state.slots.values()) {
     if (slot.phase !== 'ready' || slot.openOrder || slot.notBeforeMs > view.nowMs) continue
-    if (mustUnload(view, slot)) orders.push(unloadOf(slot, view.rights.get(slot.model)))
+    if (shouldUnload(view, slot)) orders.push(makeUnload(slot, view.rights.get(slot.model)))
     else orders.push(...adapterUnloads(view, slot))
   }
   return orders
@@ -110,7 +110,7 @@
     const plan = view.planOf(right.model)
     const waitingCount = demand?.waitingCount ?? 0
     const wanted = waitingCount > 0 || (isPinned(view, right.model) && !view.draining)
-    if (!wanted || !plan || right.revoked || !isWithinBound(right, plan) || slot.phase !== 'cold' || slot.openOrder) continue
+    if (!wanted || !plan || right.revoked || !isWithinMaxReplicas(right, plan) || slot.phase !== 'cold' || slot.openOrder) continue
     const heldBackMs = Math.max(slot.notBeforeMs, slot.tier === 'remote' ? view.state.store.notBeforeMs : 0)
     if (heldBackMs > view.nowMs) continue
     loads.push({
@@ -129,12 +129,12 @@
 const victimOrder = (view: PlanView, victim: ResidentView): EngineOrder => {
   const slot = findSlot(view.state, victim.model)
   const right = view.rights.get(victim.model)
-  if (victim.adapter === '') return unloadOf(slot, right)
+  if (victim.adapter === '') return makeUnload(slot, right)
   return { kind: 'unloadAdapter', model: victim.model, adapter: victim.adapter, fence: Math.max(slot.fence, right?.fence ?? 0) }
 }
 
-/** Memory that open unloads will free. */
-const leavingMb = (state: EngineState): number => {
+/** Memory that open unload orders will free. */
+const unloadingMb = (state: EngineState): number => {
   let sumMb = 0
   for (const slot of state.slots.values()) {
     if (slot.phase === 'unloading') sumMb += slot.memoryMb
@@ -145,20 +145,20 @@
   return sumMb
 }
 
-/** Orders that make room for `neededMb` more; undefined when that cannot be had now. */
-const makeRoom = (view: PlanView, state: EngineState, neededMb: number): readonly EngineOrder[] | undefined => {
-  const missingMb = neededMb - freeMb(state.ledger) - leavingMb(state)
+/** Unload orders that free `neededMb`; undefined if that is not possible now. */
+const planEvictions = (view: PlanView, state: EngineState, neededMb: number): readonly EngineOrder[] | undefined => {
+  const missingMb = neededMb - freeMb(state.ledger) - unloadingMb(state)
   if (missingMb <= 0) return []
   const residents = viewResidents({
     state, nowMs: view.nowMs, demandOf: model => view.demands.get(model), isPinned: model => isPinned(view, model)
   })
   const victims = view.chooseVictims(residents, missingMb)
   const models = new Set(victims?.filter(({ adapter }) => adapter === '').map(({ model }) => model))
-  // The adapters of a model go with it, without orders of their own.
+  // Unloading a model also unloads its adapters, so they need no orders of their own.
   return victims?.filter(({ model, adapter }) => adapter === '' || !models.has(model)).map(victim => victimOrder(view, victim))
 }
 
-const loadOf = (view: PlanView, model: ModelId): EngineOrder | undefined => {
+const makeLoad = (view: PlanView, model: ModelId): EngineOrder | undefined => {
   const right = view.rights.get(model)
   const plan = view.planOf(model)
   if (!right || !plan) return undefined
@@ -194,9 +194,9 @@
 }
 
 /**
- * Chooses the next orders to the engine: what must be unloaded, then loads in the order that `orderLoads` gives, as
- * far as memory goes, with unloads that make room for the first that does not fit. Every order in the plan is
- * opened in the returned state, so that its memory is reserved before it leaves.
+ * Plans the next orders to the engine: necessary unloads first, then loads in the order of `orderLoads` as far as memory
+ * allows, then unloads that free memory for the first load that does not fit. The returned state has every order of the
+ * plan open, so that its memory is reserved before the order is sent.
  */
 export const planOrders = (view: PlanView): OrderPlan => {
   let state = view.state
@@ -213,17 +213,17 @@
   for (const order of planUnloads(view)) open(order)
 
   const wanted = [
-    ...waitingLoads(view).flatMap(load => loadOf(view, load.model) ?? []),
+    ...waitingLoads(view).flatMap(load => makeLoad(view, load.model) ?? []),
     ...adapterLoads(view)
   ]
   for (const order of wanted) {
     if (order.kind === 'load' && findSlot(state, order.model).tier === 'remote' && openStoreLoads(state) >= view.maxStoreLoads) continue
     if (open(order)) continue
     const neededMb = order.kind === 'load' || order.kind === 'loadAdapter' ? order.memoryMb : 0
-    const victims = makeRoom(view, state, neededMb)
+    const victims = planEvictions(view, state, neededMb)
     if (!victims) continue
     for (const victim of victims) open(victim)
-    // What is freed belongs to this load: a smaller one behind it would take the room away again and again.
+    // The freed memory is reserved for this load: smaller loads behind it would otherwise keep taking it.
     break
   }
   return { orders, state }
--- a/packages/agent/src/plain/callPlain.ts
+++ b/packages/agent/src/plain/callPlain.ts
@@ -1,14 +1,14 @@
 import { Agent, request as httpRequest } from 'node:http'
 import { FaultKind, faultFrom, makeFault } from '@figmount/base'
 
-import { isRefused } from '../engine/engineFaults.js'
-import { DIAL_TIMEOUT_MS, HOP_HEADERS, IDLE_SOCKET_MS, MAX_ANSWER_BYTES, POOLED_SILENCE_MS } from './constants.js'
+import { isConnectFailure } from '../engine/engineFaults.js'
+import { CONNECT_TIMEOUT_MS, HOP_BY_HOP_HEADERS, IDLE_SOCKET_MS, MAX_ANSWER_BYTES, POOLED_SILENCE_MS } from './constants.js'
 
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Fault, TimerService } from '@figmount/base'
 import type { PlainAnswer, PlainCall } from '@figmount/peers'
 
-/** How one call to a plain service ended. `sent`: a byte of it may have left. */
+/** How one call to a plain service ended. `sent`: a byte of it may have been sent. */
 export type CallEnd =
   | { readonly kind: 'answered', readonly answer: PlainAnswer }
   | { readonly kind: 'failed', readonly sent: boolean, readonly fault: Fault }
@@ -17,10 +17,10 @@
   readonly call: PlainCall
   readonly repeatable: boolean
   readonly signal: AbortSignal
-  readonly onReach: () => void
+  readonly onSent: () => void
 }
 
-/** Passes calls on to one plain service. */
+/** Forwards a call to a plain service. */
 export type CallPlain = (options: CallOptions) => Promise<CallEnd>
 
 type Headers = PlainCall['headers']
@@ -29,7 +29,7 @@
   const headers: Record<string, string | string[]> = {}
   for (const [name, value] of call.headers) {
     const key = name.toLowerCase()
-    if (HOP_HEADERS.has(key)) continue
+    if (HOP_BY_HOP_HEADERS.has(key)) continue
     const known = headers[key]
     headers[key] = known === undefined ? value : [...(Array.isArray(known) ? known : [known]), value]
   }
@@ -41,7 +41,7 @@
   const pairs: Array<readonly [string, string]> = []
   for (let index = 0; index + 1 < response.rawHeaders.length; index += 2) {
     const [name = '', value = ''] = response.rawHeaders.slice(index, index + 2)
-    if (!HOP_HEADERS.has(name.toLowerCase())) pairs.push([name, value])
+    if (!HOP_BY_HOP_HEADERS.has(name.toLowerCase())) pairs.push([name, value])
   }
   return pairs
 }
@@ -58,19 +58,19 @@
 }
 
 /**
- * Makes the caller of one plain service over Node's `http`.
+ * Creates the function that calls one plain service over Node's `http`.
  *
- * Guards against idle pooled connections that went silent: a call on one would hang, and whether it ran is not
- * known. Calls that may not be repeated therefore never use a pooled connection. Repeatable ones do, and are
- * sent again over a new one when nothing comes back on a reused connection.
+ * An idle pooled connection may have gone silent: a call on it would hang, and whether it ran would be unknown. Calls
+ * that are not repeatable therefore never use a pooled connection. Repeatable ones do, and are sent again over a new
+ * connection if a reused one returns nothing.
  */
-export const createPlainCaller = (address: string, timers: TimerService): CallPlain => {
+export const createCallPlain = (address: string, timers: TimerService): CallPlain => {
   const pool = new Agent({ keepAlive: true, timeout: IDLE_SOCKET_MS })
   const single = new Agent({ keepAlive: false })
   const [host = '', portText = ''] = address.split(':')
   const fail = faultFrom('plain.call', address)
 
-  const callOnce = async ({ call, signal, onReach }: CallOptions, agent: Agent): Promise<CallEnd & { readonly onReused: boolean }> => {
+  const callOnce = async ({ call, signal, onSent }: CallOptions, agent: Agent): Promise<CallEnd & { readonly onReused: boolean }> => {
     let sent = false
     let request: ClientRequest | undefined
     let stopWatching = (): void => {}
@@ -84,12 +84,12 @@
         opened.once('socket', socket => {
           const write = (): void => {
             sent = true
-            onReach()
+            onSent()
             opened.end(call.body)
             if (opened.reusedSocket) stopWatching = timers.after(POOLED_SILENCE_MS, () => opened.destroy(new Error('pooled connection is silent')))
           }
           if (!socket.connecting) return write()
-          stopWatching = timers.after(DIAL_TIMEOUT_MS, () => {
+          stopWatching = timers.after(CONNECT_TIMEOUT_MS, () => {
             if (!sent) opened.destroy(new Error('ECONNREFUSED: no connection in time'))
           })
           socket.once('connect', () => {
@@ -116,8 +116,8 @@
   }
 }
 
-/** A fault for an attempt that carries no call though its target is a plain service. */
-export const missingCall = (address: string): Fault => makeFault(FaultKind.Invalid, 'plain.call', address, 'the request carries no HTTP call')
+/** The fault of an attempt for a plain service that contains no HTTP call. */
+export const missingCallFault = (address: string): Fault => makeFault(FaultKind.Invalid, 'plain.call', address, 'the request carries no HTTP call')
 
-/** True when nothing listens at the service's address. */
-export const isServiceDown = (fault: Fault): boolean => isRefused(fault)
+/** True if the service's address refuses connections. */
+export const isServiceDown = (fault: Fault): boolean => isConnectFailure(fault)
--- a/packages/agent/src/plain/plain.test.ts
+++ b/packages/agent/src/plain/plain.test.ts
@@ -2,7 +2,7 @@
 import { createTimerService, sleep } from '@figmount/base'
 import { expect } from 'chai'
 
-import { createPlainCaller } from './callPlain.js'
+import { createCallPlain } from './callPlain.js'
 import { probeService } from './probeService.js'
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -22,8 +22,8 @@
   const sockets = new Set<Socket>()
   let respond: (request: IncomingMessage, response: ServerResponse) => void
 
-  const run = async (path: string, repeatable: boolean, onReach = (): void => {}): Promise<CallEnd> =>
-    await call({ call: callOf(path, 'body'), repeatable, signal: new AbortController().signal, onReach })
+  const run = async (path: string, repeatable: boolean, onSent = (): void => {}): Promise<CallEnd> =>
+    await call({ call: callOf(path, 'body'), repeatable, signal: new AbortController().signal, onSent })
 
   beforeEach(async () => {
     seen.length = 0
@@ -36,7 +36,7 @@
     server.on('connection', socket => sockets.add(socket))
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
     address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-    call = createPlainCaller(address, timers)
+    call = createCallPlain(address, timers)
   })
 
   afterEach(async () => {
@@ -44,7 +44,7 @@
     await new Promise(resolve => server.close(resolve))
   })
 
-  it('gets a call as it is', async () => {
+  it('receives a call unchanged', async () => {
     const end = await run('/records?id=1', true)
     expect(seen[0]?.headers).to.include({ 'x-key': 'k1', accept: 'a, b', 'content-length': '4' })
     expect(seen[0]?.url).to.equal('/records?id=1')
@@ -54,13 +54,13 @@
     expect(Buffer.from(end.answer.body).toString()).to.equal('done')
   })
 
-  // A device between agent and service forgets an idle pooled connection without closing it. The next call
-  // would hang on it; a repeatable one is sent again, and one that may not be repeated is never put on it.
-  it('is reached though an idle connection has gone silent', async function () {
+  // A device between agent and service drops an idle pooled connection without closing it. The next call on it would
+  // hang; a repeatable call is sent again, and a non-repeatable one never uses a pooled connection.
+  it('is reached although an idle connection has gone silent', async function () {
     this.timeout(8_000)
     await run('/first', true)
     const [pooled] = sockets
-    // The service's end reads no more: what is sent on this connection is lost.
+    // The service's end stops reading: data sent on this connection is lost.
     pooled?.pause()
     pooled?.removeAllListeners('data')
     respond = (request, response) => { if (request.socket !== pooled) response.end('fresh') }
@@ -72,7 +72,7 @@
     expect(answered).to.deep.equal(['/once', '/again'])
   })
 
-  it('does not get a call twice that may not be repeated', async () => {
+  it('does not receive a non-repeatable call twice', async () => {
     respond = request => { request.socket.destroy() }
     const end = await run('/bill', false)
     expect(end).to.include({ kind: 'failed', sent: true })
@@ -80,16 +80,16 @@
     expect(seen).to.have.length(1)
   })
 
-  it('that is away has got nothing', async () => {
+  it('receives nothing while it is down', async () => {
     await new Promise(resolve => server.close(resolve))
-    let reached = false
-    const end = await run('/bill', false, () => { reached = true })
+    let isSent = false
+    const end = await run('/bill', false, () => { isSent = true })
     expect(end).to.include({ kind: 'failed', sent: false })
-    expect(reached).to.equal(false)
+    expect(isSent).to.equal(false)
     expect(await probeService(address, timers)).to.equal('refused')
   })
 
-  it('that broke one call off is not taken for dead', async () => {
+  it('is not considered dead after it interrupted one call', async () => {
     expect(await probeService(address, timers)).to.equal('up')
   })
 })
--- a/packages/agent/src/rights/viewRights.ts
+++ b/packages/agent/src/rights/viewRights.ts
@@ -3,18 +3,18 @@
 import type { HeldSlot } from '../loading/types.js'
 import type { HeldKeys, HeldRights } from './types.js'
 
-const isBetter = (slot: HeldSlot, known: HeldSlot | undefined): boolean => {
+const isPreferred = (slot: HeldSlot, known: HeldSlot | undefined): boolean => {
   if (!known) return true
   if (slot.revoked !== known.revoked) return !slot.revoked
   return slot.slotIndex < known.slotIndex
 }
 
-/** Rights that an instance holds, whether in force or to be given back; when it gives up, all are. */
+/** Lists the rights that an instance holds, in force or revoked; if `releasingAll`, all of them count as revoked. */
 export const viewRights = (
   state: Pick<AgreedState, 'rights'>,
   instance: InstanceName,
   incarnation: Incarnation,
-  givingUp: boolean
+  releasingAll: boolean
 ): HeldRights => {
   const slots = new Map<ModelId, HeldSlot>()
   const keys = new Map<ModelId, HeldKeys>()
@@ -22,7 +22,7 @@
   for (const right of state.rights.values()) {
     if (right.holder !== instance || right.status === 'free') continue
     const { key, fence } = right
-    const revoked = givingUp || right.status === 'revoked'
+    const revoked = releasingAll || right.status === 'revoked'
     if (revoked) revokedRights.push(right)
     if (key.kind === 'keys') {
       const { keysFromMs } = right
@@ -30,10 +30,10 @@
       continue
     }
     const slot: HeldSlot = { model: key.target, slotIndex: key.slotIndex, fence, revoked }
-    if (isBetter(slot, slots.get(key.target))) slots.set(key.target, slot)
+    if (isPreferred(slot, slots.get(key.target))) slots.set(key.target, slot)
   }
   return { slots, keys, revoked: revokedRights }
 }
 
-/** No rights, as before the log was read. */
+/** The rights before the log has been read. */
 export const noRights: HeldRights = { slots: new Map(), keys: new Map(), revoked: [] }
--- a/packages/agent/src/running/runOnPlain.ts
+++ b/packages/agent/src/running/runOnPlain.ts
@@ -1,6 +1,6 @@
 import { FinishReason } from '@figmount/schema'
 
-import { isServiceDown, missingCall } from '../plain/callPlain.js'
+import { isServiceDown, missingCallFault } from '../plain/callPlain.js'
 
 import type { CallPlain } from '../plain/callPlain.js'
 import type { Probe } from '../plain/probeService.js'
@@ -10,19 +10,19 @@
   readonly address: string
   readonly callPlain: CallPlain
   readonly probe: () => Promise<Probe>
-  /** Names the run of the service; changes when it was found dead. */
+  /** Identifies the run of the service; changes when the service was found dead. */
   readonly incarnation: () => string
 }
 
 /**
- * Runs attempts on a plain HTTP service. A service that broke a call off and refuses connections right after has
- * ended; one that is merely cut off or closed the one connection has not.
+ * Runs attempts on a plain HTTP service. A service that interrupted a call and then refuses connections has ended; one
+ * that is unreachable or only closed that connection has not.
  */
 export const runOnPlain = ({ address, callPlain, probe, incarnation }: Options): RunOnBackend => async (attempt, _version, hooks, signal) => {
   const { plain, repeatable } = attempt.request
-  if (!plain) return { kind: 'notRun', fault: missingCall(address), isBackendDown: false }
+  if (!plain) return { kind: 'notRun', fault: missingCallFault(address), isBackendDown: false }
   const startedOn = incarnation()
-  const end = await callPlain({ call: plain, repeatable, signal, onReach: hooks.onReach })
+  const end = await callPlain({ call: plain, repeatable, signal, onSent: hooks.onSent })
   if (end.kind === 'answered') return { kind: 'finished', finishReason: FinishReason.STOP, plain: end.answer }
   if (!end.sent) return { kind: 'notRun', fault: end.fault, isBackendDown: isServiceDown(end.fault) }
   if (signal.aborted) return { kind: 'cancelled' }
--- a/packages/agent/src/testing/startAgentForTest.ts
+++ b/packages/agent/src/testing/startAgentForTest.ts
@@ -1,4 +1,4 @@
-/** An agent in virtual time between a fake log, a fake engine and fake routers. */
+/** Runs an agent in virtual time with a fake log, a fake engine and fake routers. */
 import { createEventLog, createMetrics, createVirtualTimers } from '@figmount/base'
 import { accountNothing, admitUntilFull, allAhead, evictLeastRecent, keepFixedTime, limitNothing, orderByArrival, pickFirstCome, retryAfterFixed, shedNothing } from '@figmount/decisions'
 import { createInbox } from '@figmount/peers'
@@ -26,10 +26,10 @@
   name, versions: ['v1', 'v2'], currentVersion: 'v1', minReplicas: 0, maxReplicas: 2, memoryMb: 400, checkpointMb: 100, ...more
 })
 
-/** A router's end of a link. */
+/** The router's end of a link. */
 export interface FakeRouter {
   readonly send: (message: RouterToAgentMessage) => void
-  readonly heard: readonly AgentToRouterMessage[]
+  readonly received: readonly AgentToRouterMessage[]
   readonly cut: () => void
   readonly tokensOf: (id: string) => readonly string[]
   readonly finalOf: (id: string) => Extract<AgentToRouterMessage, { type: 'final' }> | undefined
@@ -68,28 +68,28 @@
 
 const connectTo = (agent: Agent, timers: VirtualTimers, peer: string): FakeRouter => {
   const inbox = createInbox<RouterToAgentMessage>()
-  const heard: AgentToRouterMessage[] = []
+  const received: AgentToRouterMessage[] = []
   let isOpen = true
   const cut = (): void => {
     isOpen = false
     inbox.end()
   }
   const link: Link<AgentToRouterMessage, RouterToAgentMessage> = {
-    peer, send: message => { if (isOpen) heard.push(message) }, sendPacked: ({ body }) => { if (isOpen) heard.push(body) }, received: inbox.values, close: cut, isOpen: () => isOpen, bufferedBytes: () => 0, lastReceivedMs: timers.nowMs
+    peer, send: message => { if (isOpen) received.push(message) }, sendPacked: ({ body }) => { if (isOpen) received.push(body) }, received: inbox.values, close: cut, isOpen: () => isOpen, bufferedBytes: () => 0, lastReceivedMs: timers.nowMs
   }
   agent.runLink(link).catch(error => { throw error })
   return {
     send: inbox.push,
-    heard,
+    received,
     cut,
-    tokensOf: id => heard.flatMap(message => message.type === 'tokens' && message.attemptId === id ? message.tokens : []),
-    finalOf: id => heard.find((message): message is Extract<AgentToRouterMessage, { type: 'final' }> => message.type === 'final' && message.attemptId === id),
-    refusalOf: id => heard.find((message): message is Extract<AgentToRouterMessage, { type: 'refused' }> => message.type === 'refused' && message.attemptId === id)?.refusal,
+    tokensOf: id => received.flatMap(message => message.type === 'tokens' && message.attemptId === id ? message.tokens : []),
+    finalOf: id => received.find((message): message is Extract<AgentToRouterMessage, { type: 'final' }> => message.type === 'final' && message.attemptId === id),
+    refusalOf: id => received.find((message): message is Extract<AgentToRouterMessage, { type: 'refused' }> => message.type === 'refused' && message.attemptId === id)?.refusal,
     start: (id, request = {}, permit) => inbox.push({ type: 'start', attemptId: id as AttemptId, request: aRequest(timers.unixMs(), request), ...(permit ? { permit } : {}) })
   }
 }
 
-/** Starts an agent that has announced itself beside a service `reader`. */
+/** Starts an agent for the service `reader` and waits until it has announced itself. */
 export const startAgentForTest = async (options: Options = {}): Promise<AgentUnderTest> => {
   const timers = createVirtualTimers(START_UNIX_MS)
   const engine = createFakeEngine(timers)
