--- a/packages/agent/src/agent/createAdmission.ts
+++ b/packages/agent/src/agent/createAdmission.ts
@@ -1,4 +1,4 @@
-import { ONCE_WINDOW_MS } from '@figmount/records'
+import { MAX_KEY_AGE_MS } from '@figmount/records'
 import { RefusalReason, RunState } from '@figmount/schema'
 
 import { attemptFields } from '../attempts/entry.js'
@@ -122,7 +122,7 @@
       return mayHaveRun({ reason: RefusalReason.ANSWER_LOST, detail: 'the permit is for another run', step: 'once.permit', peer: instance, retryAfterMs: 0 })
     }
     // The holder may have forgotten a permit that was in transit for longer than the window.
-    if (request.issuedAtMs < timers.unixMs() - ONCE_WINDOW_MS) {
+    if (request.issuedAtMs < timers.unixMs() - MAX_KEY_AGE_MS) {
       return notRunUnlessResent(request)({ reason: RefusalReason.KEY_EXPIRED, detail: 'the key is too old', step: 'once.permit', peer: instance, retryAfterMs: 0 })
     }
     return undefined
--- a/packages/agent/src/attempts/createAttemptStore.ts
+++ b/packages/agent/src/attempts/createAttemptStore.ts
@@ -1,4 +1,4 @@
-import { ONCE_WINDOW_MS } from '@figmount/records'
+import { MAX_KEY_AGE_MS } from '@figmount/records'
 import { RefusalReason, RunState } from '@figmount/schema'
 
 import { AgentEvent } from '../events.js'
@@ -103,7 +103,7 @@
     add: (id, request) => {
       const nowMs = timers.nowMs()
       const deadlineAtMs = nowMs + request.remainingMs
-      const onceUntilMs = nowMs + ONCE_WINDOW_MS - (timers.unixMs() - request.issuedAtMs)
+      const onceUntilMs = nowMs + MAX_KEY_AGE_MS - (timers.unixMs() - request.issuedAtMs)
       const keepUntilMs = request.repeatable ? deadlineAtMs + FINISHED_KEEP_MS : Math.max(deadlineAtMs, onceUntilMs)
       const entry: Entry = {
         id,
--- a/packages/agent/src/once/createPermitLedger.ts
+++ b/packages/agent/src/once/createPermitLedger.ts
@@ -1,4 +1,4 @@
-import { KEY_MEMORY_MS } from '@figmount/records'
+import { KEY_RETENTION_MS } from '@figmount/records'
 import { RefusalReason, RunState } from '@figmount/schema'
 
 import { AgentEvent } from '../events.js'
@@ -30,7 +30,7 @@
   readonly executorIncarnation: Incarnation
 }
 
-/** The permits granted by the holder of `keys` rights, stored for ONCE_WINDOW_MS. */
+/** The permits granted by the holder of `keys` rights, stored for MAX_KEY_AGE_MS. */
 export interface PermitLedger {
   readonly ask: (ask: PermitRequest) => PermitReply
   /** Withdraws a permit under which nothing ran; ignored if the key belongs to another attempt. */
@@ -57,7 +57,7 @@
       keysFence: keys.fence
     }
     // By then a resend is refused as too old, even if the clock is set back within its error bound.
-    entries.set(key, { permit, target, forgetAtUnixMs: Math.max(request.issuedAtMs, timers.unixMs()) + KEY_MEMORY_MS })
+    entries.set(key, { permit, target, forgetAtUnixMs: Math.max(request.issuedAtMs, timers.unixMs()) + KEY_RETENTION_MS })
     return permit
   }
 
--- a/packages/agent/src/once/judgePermit.ts
+++ b/packages/agent/src/once/judgePermit.ts
@@ -1,4 +1,4 @@
-import { CLOCK_ERROR_MS, ONCE_WINDOW_MS } from '@figmount/records'
+import { MAX_CLOCK_ERROR_MS, MAX_KEY_AGE_MS } from '@figmount/records'
 import { RefusalReason, RunState } from '@figmount/schema'
 
 import { PERMIT_RETRY_MS } from './constants.js'
@@ -20,11 +20,11 @@
  */
 export const judgePermit = (view: PermitView): PermitVerdict => {
   const { tenure, issuedAtMs, nowUnixMs } = view
-  if (issuedAtMs > nowUnixMs + CLOCK_ERROR_MS) {
+  if (issuedAtMs > nowUnixMs + MAX_CLOCK_ERROR_MS) {
     // An earlier holder whose clock is ahead may have accepted this issue time.
     return refuse(notRunUnlessResent(view), RefusalReason.INVALID, 0, 'the key is issued in the future')
   }
-  if (issuedAtMs < nowUnixMs - ONCE_WINDOW_MS) {
+  if (issuedAtMs < nowUnixMs - MAX_KEY_AGE_MS) {
     return refuse(notRunUnlessResent(view), RefusalReason.KEY_EXPIRED, 0, 'the key is too old')
   }
   if (!tenure) return refuse(notRunUnlessResent(view), RefusalReason.UNAVAILABLE, PERMIT_RETRY_MS, 'the keys are decided on elsewhere')
--- a/packages/agent/src/once/once.test.ts
+++ b/packages/agent/src/once/once.test.ts
@@ -1,4 +1,4 @@
-import { AUTHORITY_MS, CLOCK_ERROR_MS, KEY_AHEAD_MS, KEY_MEMORY_MS, ONCE_WINDOW_MS } from '@figmount/records'
+import { AUTHORITY_MS, MAX_CLOCK_ERROR_MS, MAX_KEY_LEAD_MS, KEY_RETENTION_MS, MAX_KEY_AGE_MS } from '@figmount/records'
 import { RefusalReason, RunState } from '@figmount/schema'
 import { expect } from 'chai'
 
@@ -10,7 +10,7 @@
 import type { AgentUnderTest, FakeRouter } from '../testing/startAgentForTest.js'
 import type { PermitView } from './types.js'
 
-const MARGIN_MS = AUTHORITY_MS + KEY_AHEAD_MS
+const MARGIN_MS = AUTHORITY_MS + MAX_KEY_LEAD_MS
 const once = (more: Partial<RunRequest> = {}): Partial<RunRequest> => ({ repeatable: false, ...more })
 
 const view: PermitView = {
@@ -56,9 +56,9 @@
     expect(stateOf({ issuedAtMs: 56_999 })).to.equal(RunState.MAY_HAVE_RUN)
     expect(stateOf({ issuedAtMs: 56_999, resendCount: 0 })).to.equal(RunState.NOT_RUN)
     expect(stateOf({ issuedAtMs: 40_000, tenure: { fromMs: 0 } })).to.equal('grant')
-    expect(stateOf({ issuedAtMs: 101_000 + CLOCK_ERROR_MS + 1 })).to.equal(RunState.MAY_HAVE_RUN)
-    expect(stateOf({ issuedAtMs: 101_000 + CLOCK_ERROR_MS + 1, resendCount: 0 })).to.equal(RunState.NOT_RUN)
-    expect(stateOf({ nowUnixMs: 100_001 + ONCE_WINDOW_MS })).to.equal(RunState.MAY_HAVE_RUN)
+    expect(stateOf({ issuedAtMs: 101_000 + MAX_CLOCK_ERROR_MS + 1 })).to.equal(RunState.MAY_HAVE_RUN)
+    expect(stateOf({ issuedAtMs: 101_000 + MAX_CLOCK_ERROR_MS + 1, resendCount: 0 })).to.equal(RunState.NOT_RUN)
+    expect(stateOf({ nowUnixMs: 100_001 + MAX_KEY_AGE_MS })).to.equal(RunState.MAY_HAVE_RUN)
     expect(stateOf({ tenure: undefined })).to.equal(RunState.MAY_HAVE_RUN)
     expect(stateOf({ authority: 'none' })).to.equal(RunState.MAY_HAVE_RUN)
     expect(stateOf({ authority: 'outage' })).to.equal(RunState.NOT_RUN)
@@ -167,7 +167,7 @@
   it('removes keys after the window', async () => {
     const { under, router } = await holder()
     await ask(under, router, 'a', 'agent-2')
-    under.timers.advance(KEY_MEMORY_MS + 11_000)
+    under.timers.advance(KEY_RETENTION_MS + 11_000)
     const reply = await ask(under, router, 'b', 'agent-3', { issuedAtMs: START_UNIX_MS + 300, resendCount: 1 })
     expect(reply).to.deep.include({ kind: 'refused' })
   })
--- a/packages/agent/src/suspects/createSuspectTracker.ts
+++ b/packages/agent/src/suspects/createSuspectTracker.ts
@@ -1,4 +1,4 @@
-import { judgeSuspect } from '@figmount/records'
+import { classifySuspect } from '@figmount/records'
 
 import { AgentEvent } from '../events.js'
 import { MAX_RECENT_DEATHS, MAX_RECENT_SUSPECTS, RECENT_DEATH_KEEP_MS } from './constants.js'
@@ -71,9 +71,9 @@
 
   const judge = (fingerprint: string): SuspectVerdict => {
     const state = records.state()
-    if (!recentDeaths.has(fingerprint)) return judgeSuspect(state, fingerprint, timers.unixMs())
+    if (!recentDeaths.has(fingerprint)) return classifySuspect(state, fingerprint, timers.unixMs())
     const suspects = new Map([[fingerprint, { fingerprint, deaths: deathsOf(fingerprint) }]])
-    return judgeSuspect({ ...state, suspects }, fingerprint, timers.unixMs())
+    return classifySuspect({ ...state, suspects }, fingerprint, timers.unixMs())
   }
 
   return {
--- a/packages/records/src/agents/applyInstanceVoid.ts
+++ b/packages/records/src/agents/applyInstanceVoid.ts
@@ -1,4 +1,4 @@
-import { AUTHORITY_MS, KEY_AHEAD_MS, VOID_GRANT_DELAY_MS } from '../rights/constants.js'
+import { AUTHORITY_MS, MAX_KEY_LEAD_MS, VOID_GRANT_DELAY_MS } from '../rights/constants.js'
 import { applied, ignored } from '../fold/outcomes.js'
 
 import type { Draft } from '../fold/openDraft.js'
@@ -25,7 +25,7 @@
   if (agent.gone && freed.length === 0) return ignored(`${record.instance} is void already`)
   draft.change('agents').set(record.instance, { ...agent, gone: true })
   const grantableFromMs = state.asOfMs + VOID_GRANT_DELAY_MS
-  const keysFromMs = state.asOfMs + AUTHORITY_MS + KEY_AHEAD_MS
+  const keysFromMs = state.asOfMs + AUTHORITY_MS + MAX_KEY_LEAD_MS
   for (const right of freed) {
     draft.change('rights').set(right.id, { ...right, status: 'free', keysFromMs, grantableFromMs })
   }
--- a/packages/records/src/fold/foldRecords.test.ts
+++ b/packages/records/src/fold/foldRecords.test.ts
@@ -4,7 +4,7 @@
 import { foldRecords } from './foldRecords.js'
 import { findKeysRight, findReplicaRights } from '../rights/selectors.js'
 import { findCallerByKey, findModel } from '../config/selectors.js'
-import { judgeSuspect } from '../suspects/selectors.js'
+import { classifySuspect } from '../suspects/selectors.js'
 import { VOID_GRANT_DELAY_MS } from '../rights/constants.js'
 import { agentUp, grantReplica, placeAll, setConfig, twoReplicaService } from '../testing/records.js'
 
@@ -151,8 +151,8 @@
   it('convicts the only running request of the second death and clears an answered request', () => {
     const clear: LogRecord = { kind: 'suspect.clear', recordId: 'c', writer: a1, fingerprint: 'bystander' }
     const { state } = fold(death('d1', 'killer', 'bystander'), clear, death('d2', 'killer'))
-    expect(judgeSuspect(state, 'killer', 10)).to.equal('convicted')
-    expect(judgeSuspect(state, 'bystander', 10)).to.equal('none')
-    expect(judgeSuspect(fold(death('d1', 'killer')).state, 'killer', 10)).to.equal('suspect')
+    expect(classifySuspect(state, 'killer', 10)).to.equal('convicted')
+    expect(classifySuspect(state, 'bystander', 10)).to.equal('none')
+    expect(classifySuspect(fold(death('d1', 'killer')).state, 'killer', 10)).to.equal('suspect')
   })
 })
--- a/packages/records/src/log/createRecordsClient.test.ts
+++ b/packages/records/src/log/createRecordsClient.test.ts
@@ -10,7 +10,7 @@
 
 import type { Incarnation, InstanceName, LogOffset, VirtualTimers } from '@figmount/base'
 import type { FakeLog } from '../testing/createFakeLog.js'
-import type { FollowingClient, NewRecord } from './types.js'
+import type { SnapshotTrackingClient, NewRecord } from './types.js'
 import type { LogRecord } from '../fold/types.js'
 
 const nextTurn = async (): Promise<void> => await new Promise(resolve => setImmediate(resolve))
@@ -27,13 +27,13 @@
 interface TestSetup {
   readonly timers: VirtualTimers
   readonly log: FakeLog
-  readonly client: (instance: string) => FollowingClient
+  readonly client: (instance: string) => SnapshotTrackingClient
 }
 
 const startTest = (): TestSetup => {
   const timers = createVirtualTimers(1_000_000)
   const log = createFakeLog(timers)
-  const client = (name: string): FollowingClient => {
+  const client = (name: string): SnapshotTrackingClient => {
     const instance = name as InstanceName
     const events = createEventLog({ instance, role: 'test', timers })
     return createRecordsClient({ address: 'fake', instance, incarnation: `i-${name}` as Incarnation, timers, events, metrics: createMetrics(), log: log.calls })
@@ -46,7 +46,7 @@
   return record
 }
 
-const outcomeOf = async (client: FollowingClient, timers: VirtualTimers, record: NewRecord): Promise<string> => {
+const outcomeOf = async (client: SnapshotTrackingClient, timers: VirtualTimers, record: NewRecord): Promise<string> => {
   const answer = client.append(record).run()
   await passTime(timers, 7_000)
   return (await answer).caseOf({
@@ -164,11 +164,11 @@
 })
 
 describe('rebuilding after records have expired', () => {
-  const appendThreeItems = async (setup: TestSetup, writer: FollowingClient): Promise<void> => {
+  const appendThreeItems = async (setup: TestSetup, writer: SnapshotTrackingClient): Promise<void> => {
     for (const name of ['one', 'two', 'three']) await outcomeOf(writer, setup.timers, change(0, name))
   }
 
-  const startWithSnapshot = async (): Promise<TestSetup & { readonly writer: FollowingClient }> => {
+  const startWithSnapshot = async (): Promise<TestSetup & { readonly writer: SnapshotTrackingClient }> => {
     const setup = startTest()
     const writer = setup.client('r1')
     await appendThreeItems(setup, writer)
--- a/packages/records/src/log/createRecordsClient.ts
+++ b/packages/records/src/log/createRecordsClient.ts
@@ -13,7 +13,7 @@
 import type { EventLog, Incarnation, InstanceName, LogOffset, Metrics, TimerService } from '@figmount/base'
 import type { AgreedState, LogRecord, PlacedRecord } from '../fold/types.js'
 import type { PlatformLogCalls } from './openLog.js'
-import type { FollowingClient, RecordsClient, LogSnapshot } from './types.js'
+import type { SnapshotTrackingClient, RecordsClient, LogSnapshot } from './types.js'
 
 type Listener = Parameters<RecordsClient['onChange']>[0]
 
@@ -33,7 +33,7 @@
 }
 
 /** Starts to follow the platform's log, with unlimited retries; `isReady` tells whether there is a state yet. */
-export const createRecordsClient = (options: RecordsClientOptions): FollowingClient => {
+export const createRecordsClient = (options: RecordsClientOptions): SnapshotTrackingClient => {
   const { address, instance, incarnation, timers, events, metrics } = options
   const log = options.log ?? openLog(address, timers)
   const buffer = createRawBuffer()
--- a/packages/records/src/log/types.ts
+++ b/packages/records/src/log/types.ts
@@ -33,7 +33,7 @@
 }
 
 /** A client that also reports the latest snapshot in the log. */
-export interface FollowingClient extends RecordsClient {
+export interface SnapshotTrackingClient extends RecordsClient {
   /** The latest complete snapshot read from the log; undefined if there was none. */
   readonly lastSnapshot: () => LogSnapshot | undefined
 }
--- a/packages/records/src/proposals/proposeMoves.test.ts
+++ b/packages/records/src/proposals/proposeMoves.test.ts
@@ -11,14 +11,14 @@
 import type { InstanceName } from '@figmount/base'
 import type { AgreedState, LogRecord } from '../fold/types.js'
 import type { NewRecord } from '../log/types.js'
-import type { MoveFacts } from './types.js'
+import type { MoveOptions } from './types.js'
 
 const CAPACITY_MB = 100
 const AGENTS = ['a1', 'a2', 'a3', 'a4']
 const DAY_MS = 86_400_000
 const ROUND_LIMIT = 100
 
-const facts: MoveFacts = { mayPropose: () => true, isLoaded: () => false }
+const facts: MoveOptions = { mayPropose: () => true, isLoaded: () => false }
 const listed = (names: readonly string[]) => names.map(name => ({ name: name as InstanceName, leaving: false }))
 
 let counter = 0
--- a/packages/records/src/proposals/proposeMoves.ts
+++ b/packages/records/src/proposals/proposeMoves.ts
@@ -11,7 +11,7 @@
 import type { AgreedState } from '../fold/types.js'
 import type { NewRecord } from '../log/types.js'
 import type { RightState } from '../rights/types.js'
-import type { Candidates, ListedInstance, MoveFacts } from './types.js'
+import type { Candidates, ListedInstance, MoveOptions } from './types.js'
 
 /** A slot and the agent that it could move to. */
 interface Move {
@@ -40,7 +40,7 @@
 }
 
 const findMove = (
-  state: AgreedState, right: RightState, model: ModelSpec, candidates: Candidates, promised: Promised, facts: MoveFacts
+  state: AgreedState, right: RightState, model: ModelSpec, candidates: Candidates, promised: Promised, facts: MoveOptions
 ): Move | undefined => {
   const from = state.agents.get(right.holder)
   if (!from || memoryPressureOf(promised, from) <= 1) return undefined
@@ -65,7 +65,7 @@
   return move.gain > best.gain
 }
 
-const findBestMove = (state: AgreedState, service: ServiceName, candidates: Candidates, promised: Promised, facts: MoveFacts, moved: ReadonlySet<ModelId>): Move | undefined => {
+const findBestMove = (state: AgreedState, service: ServiceName, candidates: Candidates, promised: Promised, facts: MoveOptions, moved: ReadonlySet<ModelId>): Move | undefined => {
   let best: Move | undefined
   for (const [target, model] of modelsOfService(state, service)) {
     if (moved.has(target)) continue
@@ -77,7 +77,7 @@
   return best
 }
 
-const proposeServiceMoves = (state: AgreedState, service: ServiceName, candidates: Candidates, facts: MoveFacts): readonly NewRecord[] => {
+const proposeServiceMoves = (state: AgreedState, service: ServiceName, candidates: Candidates, facts: MoveOptions): readonly NewRecord[] => {
   const promised = sumPromisedMemory(state)
   const moved = new Set<ModelId>()
   const records: NewRecord[] = []
@@ -99,7 +99,7 @@
  * reload models while others stay empty. Only agents whose slots do not all fit give slots up, and every move
  * gains at least MIN_MOVE_GAIN, so moving terminates. A service that has ungranted or moving slots is skipped.
  */
-export const proposeMoves = (state: AgreedState, instances: readonly ListedInstance[], facts: MoveFacts): readonly NewRecord[] => {
+export const proposeMoves = (state: AgreedState, instances: readonly ListedInstance[], facts: MoveOptions): readonly NewRecord[] => {
   const records: NewRecord[] = []
   for (const service of listServices(state)) {
     if (findService(state, service)?.kind === 'plain' || !facts.mayPropose(`moves:${service}`)) continue
--- a/packages/records/src/proposals/proposeRights.ts
+++ b/packages/records/src/proposals/proposeRights.ts
@@ -13,13 +13,13 @@
 import type { ModelSpec } from '../config/types.js'
 import type { TargetRights } from '../rights/indexRights.js'
 import type { RightState } from '../rights/types.js'
-import type { Candidates, ListedInstance, GrantableRight, ProposalFacts } from './types.js'
+import type { Candidates, ListedInstance, GrantableRight, ProposalOptions } from './types.js'
 
 /** Progress of one proposal round. */
 interface Round {
   readonly state: AgreedState
   readonly nowMs: number
-  readonly facts: ProposalFacts
+  readonly facts: ProposalOptions
   readonly maxCount: number
   readonly records: NewRecord[]
   /** Computed only when a slot can be granted: most rounds grant none. */
@@ -116,7 +116,7 @@
  * and it is proposed again. The caller must wait until its records are read back before the next round.
  */
 export const proposeRights = (
-  state: AgreedState, instances: readonly ListedInstance[], facts: ProposalFacts, nowMs: number
+  state: AgreedState, instances: readonly ListedInstance[], facts: ProposalOptions, nowMs: number
 ): readonly NewRecord[] => {
   const round: Round = {
     state, nowMs, facts, maxCount: facts.maxCount ?? MAX_PROPOSALS_PER_ROUND, records: [], promised: undefined
--- a/packages/records/src/proposals/proposeVoids.ts
+++ b/packages/records/src/proposals/proposeVoids.ts
@@ -3,13 +3,13 @@
 import type { InstanceName, LogOffset } from '@figmount/base'
 import type { AgreedState } from '../fold/types.js'
 import type { NewRecord } from '../log/types.js'
-import type { EngineReach } from './types.js'
+import type { EngineReachability } from './types.js'
 import type { Absences } from './trackAbsences.js'
 
 interface VoidOptions {
   readonly mayPropose: (target: string) => boolean
   /** Result of this process's last attempt to contact the instance's engine. */
-  readonly engineOf: (instance: InstanceName) => EngineReach
+  readonly engineOf: (instance: InstanceName) => EngineReachability
 }
 
 const isAlreadyVoid = (state: AgreedState, instance: InstanceName): boolean => {
--- a/packages/records/src/proposals/types.ts
+++ b/packages/records/src/proposals/types.ts
@@ -12,7 +12,7 @@
 }
 
 /** Inputs of a proposal besides the agreed state. */
-export interface ProposalFacts {
+export interface ProposalOptions {
   /** Whether this process is the current proposer for a model or plain service; called only for targets that need a record. */
   readonly mayPropose: (target: string) => boolean
   /** Maximum number of records in one round; defaults to MAX_PROPOSALS_PER_ROUND. */
@@ -20,13 +20,13 @@
 }
 
 /** Inputs of `proposeMoves` besides the agreed state. */
-export interface MoveFacts extends Pick<ProposalFacts, 'mayPropose'> {
+export interface MoveOptions extends Pick<ProposalOptions, 'mayPropose'> {
   /** Whether an agent is known to have the model loaded or loading; false if its load state is unknown. */
   readonly isLoaded: (instance: InstanceName, target: ModelId) => boolean
 }
 
 /** Result of a proposer's attempt to contact an instance's engine. */
-export type EngineReach =
+export type EngineReachability =
   /** The engine does not answer. */
   | 'unreachable'
   /** The engine enforces fences and confirmed the unload of every model under the fence `state.nextOffset` or a newer one. */
--- a/packages/records/src/rights/applyGrant.ts
+++ b/packages/records/src/rights/applyGrant.ts
@@ -1,4 +1,4 @@
-import { KEY_AHEAD_MS } from './constants.js'
+import { MAX_KEY_LEAD_MS } from './constants.js'
 import { rightIdOf, serviceOfTarget } from './rightId.js'
 import { findModel, findService } from '../config/selectors.js'
 import { applied, ignored } from '../fold/outcomes.js'
@@ -57,7 +57,7 @@
 const keysFromMsFor = (state: AgreedState, key: RightKey, known: RightState | undefined): number => {
   if (known) return known.keysFromMs
   const version = state.items.get(`service/${serviceOfTarget(key.target)}`)?.version
-  return version === 1 ? 0 : state.asOfMs + KEY_AHEAD_MS
+  return version === 1 ? 0 : state.asOfMs + MAX_KEY_LEAD_MS
 }
 
 /** Grants a free right. The record's offset becomes the right's fence, so the first of two racing grants wins. */
--- a/packages/records/src/rights/applyRightChange.ts
+++ b/packages/records/src/rights/applyRightChange.ts
@@ -1,4 +1,4 @@
-import { AUTHORITY_MS, KEY_AHEAD_MS } from './constants.js'
+import { AUTHORITY_MS, MAX_KEY_LEAD_MS } from './constants.js'
 import { rightIdOf } from './rightId.js'
 import { findModel, findService } from '../config/selectors.js'
 import { applied, ignored } from '../fold/outcomes.js'
@@ -48,7 +48,7 @@
   const incarnation = state.agents.get(right.holder)?.incarnation
   if (record.writerIncarnation !== incarnation) return ignored('the holder has restarted since')
   if (isTargetInForce(state, right)) {
-    draft.change('rights').set(right.id, { ...right, status: 'free', keysFromMs: state.asOfMs + KEY_AHEAD_MS, grantableFromMs: 0 })
+    draft.change('rights').set(right.id, { ...right, status: 'free', keysFromMs: state.asOfMs + MAX_KEY_LEAD_MS, grantableFromMs: 0 })
   } else {
     draft.change('rights').delete(right.id)
   }
@@ -67,7 +67,7 @@
   if (record.incarnation === right.incarnation) return ignored('the tenure is renewed already')
   const { asOfMs } = state
   // The holder's previous run may still be active, paused or cut off, until its authority expires.
-  const keysFromMs = asOfMs + AUTHORITY_MS + KEY_AHEAD_MS
+  const keysFromMs = asOfMs + AUTHORITY_MS + MAX_KEY_LEAD_MS
   draft.change('rights').set(right.id, { ...right, incarnation: record.incarnation, tenureFromMs: asOfMs, keysFromMs })
   return applied
 }
--- a/packages/records/src/rights/constants.ts
+++ b/packages/records/src/rights/constants.ts
@@ -15,22 +15,22 @@
 export const VOID_GRANT_DELAY_MS = AUTHORITY_MS + ORDER_DEADLINE_MS + 1_000
 
 /** Maximum deviation of a caller's or a router's clock from the log's clock. */
-export const CLOCK_ERROR_MS = 2_000
+export const MAX_CLOCK_ERROR_MS = 2_000
 
 /** Maximum age of the key of a request that may not be repeated; older keys are refused. */
-export const ONCE_WINDOW_MS = 600_000
+export const MAX_KEY_AGE_MS = 600_000
 
 /**
  * Maximum lead of a permitted key's timestamp over the log's clock at the time of the permit.
- * A key is accepted up to CLOCK_ERROR_MS ahead of the holder's clock, which may itself be ahead by
+ * A key is accepted up to MAX_CLOCK_ERROR_MS ahead of the holder's clock, which may itself be ahead by
  * as much. The extra millisecond is needed because a key stamped exactly at either bound is accepted.
  */
-export const KEY_AHEAD_MS = 2 * CLOCK_ERROR_MS + 1
+export const MAX_KEY_LEAD_MS = 2 * MAX_CLOCK_ERROR_MS + 1
 
 /**
  * How long a holder remembers a key that it permitted, counted from the key's issue, by the clock with
  * which the holder checks key ages, or from the permit, whichever is later. Without the margin, a key
- * from up to CLOCK_ERROR_MS ahead would be forgotten while it is still within the window, and
+ * from up to MAX_CLOCK_ERROR_MS ahead would be forgotten while it is still within the window, and
  * a resend would be permitted a second time.
  */
-export const KEY_MEMORY_MS = ONCE_WINDOW_MS + 2 * CLOCK_ERROR_MS
+export const KEY_RETENTION_MS = MAX_KEY_AGE_MS + 2 * MAX_CLOCK_ERROR_MS
--- a/packages/records/src/rights/keysProtocol.test.ts
+++ b/packages/records/src/rights/keysProtocol.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import fc from 'fast-check'
 
-import { KEY_AHEAD_MS, KEY_MEMORY_MS } from './constants.js'
+import { MAX_KEY_LEAD_MS, KEY_RETENTION_MS } from './constants.js'
 import { createKeysSimulation, KEYS_STEPS } from '../testing/createKeysSimulation.js'
 
 import type { KeyRules, KeysStep } from '../testing/createKeysSimulation.js'
@@ -26,7 +26,7 @@
   return { ...totals, ...details }
 }
 
-const designedRules: KeyRules = { marginCutMs: 0, memoryMs: KEY_MEMORY_MS }
+const designedRules: KeyRules = { marginCutMs: 0, memoryMs: KEY_RETENTION_MS }
 
 const runSteps = (rules: KeyRules, ...steps: ReadonlyArray<readonly [KeysStep['kind'], number, number]>): readonly string[] => {
   const simulation = createKeysSimulation(rules)
@@ -44,7 +44,7 @@
   })
 
   it('would permit a key twice with half of the margin', () => {
-    expect(search({ ...designedRules, marginCutMs: KEY_AHEAD_MS / 2 }, 500).failed).to.equal(true)
+    expect(search({ ...designedRules, marginCutMs: MAX_KEY_LEAD_MS / 2 }, 500).failed).to.equal(true)
   })
 
   it('permits a key only once if its timestamp is at the upper bound and its holder releases the right', () => {
--- a/packages/records/src/snapshot/createSnapshotWriter.ts
+++ b/packages/records/src/snapshot/createSnapshotWriter.ts
@@ -3,10 +3,10 @@
 import { RecordEvent } from '../log/events.js'
 
 import type { EventLog, LogOffset, TimerService, Unsubscribe } from '@figmount/base'
-import type { FollowingClient, LogSnapshot } from '../log/types.js'
+import type { SnapshotTrackingClient, LogSnapshot } from '../log/types.js'
 
 interface Options {
-  readonly client: FollowingClient
+  readonly client: SnapshotTrackingClient
   readonly timers: TimerService
   readonly events: EventLog
   /** Whether this process should write, by rendezvous hashing over the live routers. Two writers at once are harmless. */
--- a/packages/records/src/suspects/selectors.ts
+++ b/packages/records/src/suspects/selectors.ts
@@ -18,7 +18,7 @@
  * last engine death and was running at another death within CONVICTION_WINDOW_MS before, or was the only one
  * at any earlier death. `nowMs` is log time or a Unix clock close to it.
  */
-export const judgeSuspect = (state: AgreedState, fingerprint: string, nowMs: number): SuspectVerdict => {
+export const classifySuspect = (state: AgreedState, fingerprint: string, nowMs: number): SuspectVerdict => {
   const deaths = state.suspects.get(fingerprint)?.deaths ?? []
   const recent = deaths.filter(death => nowMs - death.atMs <= DEATH_RETENTION_MS)
   if (recent.length === 0) return 'none'
--- a/packages/records/src/testing/createKeysSimulation.ts
+++ b/packages/records/src/testing/createKeysSimulation.ts
@@ -6,7 +6,7 @@
 import { agentUp, setConfig, twoReplicaService } from './records.js'
 import { emptyState } from '../fold/emptyState.js'
 import { rightIdOf } from '../rights/rightId.js'
-import { AUTHORITY_MS, CLOCK_ERROR_MS, ONCE_WINDOW_MS } from '../rights/constants.js'
+import { AUTHORITY_MS, MAX_CLOCK_ERROR_MS, MAX_KEY_AGE_MS } from '../rights/constants.js'
 
 import type { Incarnation, InstanceName, LogOffset, ModelId } from '@figmount/base'
 import type { AgreedState, LogRecord } from '../fold/types.js'
@@ -65,7 +65,7 @@
 const TIME_STEPS_MS = [100, 500, 1_000, 2_000, 4_000, 9_000, 9_000] as const
 const DAY_MS = 86_400_000
 /** Errors of the clocks that stamp keys: within the limit, somewhat beyond it, and by a day. */
-const CLOCK_ERRORS_MS = [0, -CLOCK_ERROR_MS, CLOCK_ERROR_MS, 2 * CLOCK_ERROR_MS, 2 * CLOCK_ERROR_MS, -DAY_MS, DAY_MS] as const
+const CLOCK_ERRORS_MS = [0, -MAX_CLOCK_ERROR_MS, MAX_CLOCK_ERROR_MS, 2 * MAX_CLOCK_ERROR_MS, 2 * MAX_CLOCK_ERROR_MS, -DAY_MS, DAY_MS] as const
 
 export const createKeysSimulation = (rules: KeyRules): KeysSimulation => {
   const log = createTestLog()
@@ -85,7 +85,7 @@
     known: new Map(),
     releasing: new Set()
   })
-  const holders = [createHolder('a0', CLOCK_ERROR_MS), createHolder('a1', -CLOCK_ERROR_MS), createHolder('a2', 0)]
+  const holders = [createHolder('a0', MAX_CLOCK_ERROR_MS), createHolder('a1', -MAX_CLOCK_ERROR_MS), createHolder('a2', 0)]
 
   const announce = (holder: Holder): void => {
     const { recordId, ...record } = agentUp(holder.name, holder.incarnation) as Extract<LogRecord, { kind: 'agent.up' }>
@@ -103,8 +103,8 @@
     held.status === 'granted' &&
     held.incarnation === holder.incarnation &&
     nowMs - holder.confirmedAtMs < AUTHORITY_MS &&
-    key.issuedAtMs <= clockMs + CLOCK_ERROR_MS &&
-    key.issuedAtMs >= clockMs - ONCE_WINDOW_MS &&
+    key.issuedAtMs <= clockMs + MAX_CLOCK_ERROR_MS &&
+    key.issuedAtMs >= clockMs - MAX_KEY_AGE_MS &&
     key.issuedAtMs >= held.keysFromMs - rules.marginCutMs
 
   const requestPermit = (holder: Holder, key: Key): void => {
@@ -201,7 +201,7 @@
     const holder = holders[next.who % holders.length] as Holder
     switch (next.kind) {
       case 'time': nowMs += TIME_STEPS_MS[next.n] ?? 0; return
-      case 'window': nowMs += ONCE_WINDOW_MS / 2; return
+      case 'window': nowMs += MAX_KEY_AGE_MS / 2; return
       case 'issue':
         keys.push({ id: keys.length, issuedAtMs: nowMs + (CLOCK_ERRORS_MS[next.n % CLOCK_ERRORS_MS.length] ?? 0), permitCount: 0, sentCount: 0 })
         return
--- a/packages/records/src/testing/createSlotSimulation.ts
+++ b/packages/records/src/testing/createSlotSimulation.ts
@@ -19,7 +19,7 @@
 import type { TestLog } from './createTestLog.js'
 import type { NewRecord } from '../log/types.js'
 import type { Agent, Engine, Order, Proposer, SlotStep } from './slotAgents.js'
-import type { EngineReach, ListedInstance } from '../proposals/types.js'
+import type { EngineReachability, ListedInstance } from '../proposals/types.js'
 import type { RightState } from '../rights/types.js'
 
 export const MODEL = 'reader/m' as ModelId
@@ -148,7 +148,7 @@
     agent.engine.loaded = undefined
   }
 
-  const contactEngine = (agent: Agent, view: AgreedState): EngineReach => {
+  const contactEngine = (agent: Agent, view: AgreedState): EngineReachability => {
     if (agent.isReclaimed) return 'unreachable'
     if (!agent.engine.enforcesFence) return 'reachable'
     agent.engine.highestFence = Math.max(agent.engine.highestFence, view.nextOffset)
@@ -166,7 +166,7 @@
     if (!isLogDown) proposer.view = log.present()
     const instances = readList(proposer)
     const mayPropose = (): boolean => true
-    const engineOf = (name: InstanceName): EngineReach => {
+    const engineOf = (name: InstanceName): EngineReachability => {
       const agent = agents.find(candidate => candidate.name === name)
       return agent ? contactEngine(agent, proposer.view) : 'unreachable'
     }
--- a/packages/records/src/testing/slotAgents.ts
+++ b/packages/records/src/testing/slotAgents.ts
@@ -1,7 +1,7 @@
 /** The agents and engines of the slot protocol's simulation, and the steps that it can take. */
 import { emptyState } from '../fold/emptyState.js'
 import { noAbsences } from '../proposals/trackAbsences.js'
-import { CLOCK_ERROR_MS } from '../rights/constants.js'
+import { MAX_CLOCK_ERROR_MS } from '../rights/constants.js'
 
 import type { Incarnation, InstanceName, LogOffset } from '@figmount/base'
 import type { AgreedState } from '../fold/types.js'
@@ -115,6 +115,6 @@
 })
 
 export const createProposers = (): readonly Proposer[] => [
-  { name: 'r0', clockErrorMs: CLOCK_ERROR_MS, view: emptyState, absences: noAbsences },
-  { name: 'r1', clockErrorMs: -CLOCK_ERROR_MS, view: emptyState, absences: noAbsences }
+  { name: 'r0', clockErrorMs: MAX_CLOCK_ERROR_MS, view: emptyState, absences: noAbsences },
+  { name: 'r1', clockErrorMs: -MAX_CLOCK_ERROR_MS, view: emptyState, absences: noAbsences }
 ]
--- a/packages/router/src/proposals/runProposer.ts
+++ b/packages/router/src/proposals/runProposer.ts
@@ -6,7 +6,7 @@
 import { submitProposal } from './submitProposal.js'
 
 import type { EventLog, InstanceName, TimerService } from '@figmount/base'
-import type { EngineReach, MoveFacts, NewRecord, RecordsClient } from '@figmount/records'
+import type { EngineReachability, MoveOptions, NewRecord, RecordsClient } from '@figmount/records'
 import type { Membership } from '../membership/createMembership.js'
 import type { ProposeRights } from './types.js'
 
@@ -18,11 +18,11 @@
   readonly proposers: () => readonly InstanceName[]
   readonly proposeRights: ProposeRights
   /** Last known reachability of the engine of an unlisted instance. */
-  readonly engineOf: (instance: InstanceName) => EngineReach
+  readonly engineOf: (instance: InstanceName) => EngineReachability
   /** True if an agent has announced that it accepts no new work. */
   readonly isStopping: (instance: InstanceName) => boolean
   /** True if an agent's last report lists a model as loaded or loading. */
-  readonly isLoaded: MoveFacts['isLoaded']
+  readonly isLoaded: MoveOptions['isLoaded']
   readonly timers: TimerService
   readonly events: EventLog
   readonly signal: AbortSignal
--- a/packages/router/src/router/types.ts
+++ b/packages/router/src/router/types.ts
@@ -1,6 +1,6 @@
 import type { Incarnation, InstanceName, ProcessContext } from '@figmount/base'
 import type { ChooseBackend, ChooseRetryAfter } from '@figmount/decisions'
-import type { FollowingClient } from '@figmount/records'
+import type { SnapshotTrackingClient } from '@figmount/records'
 import type { ReadInstances } from '../membership/pollInstances.js'
 import type { ProposeRights } from '../proposals/types.js'
 import type { AbsentEngine } from '../voids/types.js'
@@ -10,7 +10,7 @@
 export interface RouterParts extends ProcessContext<RouterSettings> {
   readonly instance: InstanceName
   readonly incarnation: Incarnation
-  readonly records: FollowingClient
+  readonly records: SnapshotTrackingClient
   readonly readInstances: ReadInstances
   readonly chooseBackend: ChooseBackend
   readonly chooseRetryAfter: ChooseRetryAfter
--- a/packages/router/src/suspects/createSuspects.ts
+++ b/packages/router/src/suspects/createSuspects.ts
@@ -1,4 +1,4 @@
-import { judgeSuspect } from '@figmount/records'
+import { classifySuspect } from '@figmount/records'
 
 import type { AgreedState, SuspectDeath } from '@figmount/records'
 import type { Suspects, Suspicion } from './types.js'
@@ -33,9 +33,9 @@
 
   return {
     verdictOf: fingerprint => {
-      if (!peerDeaths.has(fingerprint)) return judgeSuspect(state(), fingerprint, unixMs())
+      if (!peerDeaths.has(fingerprint)) return classifySuspect(state(), fingerprint, unixMs())
       const suspects = new Map([[fingerprint, { fingerprint, deaths: deathsOf(fingerprint) }]])
-      return judgeSuspect({ ...state(), suspects }, fingerprint, unixMs())
+      return classifySuspect({ ...state(), suspects }, fingerprint, unixMs())
     },
     addFromPeer: ({ fingerprints, deathId, instance }: Suspicion) => {
       const fresh = fingerprints.filter(fingerprint => !deathsOf(fingerprint).some(death => death.deathId === deathId))
--- a/packages/router/src/voids/evictEngine.ts
+++ b/packages/router/src/voids/evictEngine.ts
@@ -1,4 +1,4 @@
-import type { EngineReach } from '@figmount/records'
+import type { EngineReachability } from '@figmount/records'
 import type { AbsentEngine, EngineInventory, Eviction } from './types.js'
 
 const hasUnloadedAll = (inventory: EngineInventory, eviction: Eviction): boolean =>
@@ -12,7 +12,7 @@
  * would then let another engine load one replica too many. Rights may only be voided if the engine
  * does not answer, or has confirmed the unload and rejects older orders.
  */
-export const evictEngine = async (engine: AbsentEngine, eviction: Eviction): Promise<EngineReach> => {
+export const evictEngine = async (engine: AbsentEngine, eviction: Eviction): Promise<EngineReachability> => {
   const found = await engine.inventory().run()
   if (found.isLeft()) return 'unreachable'
   // An engine that does not enforce fences could be ordered by its isolated agent to load the model again.
--- a/packages/router/src/voids/watchAbsentEngines.ts
+++ b/packages/router/src/voids/watchAbsentEngines.ts
@@ -6,7 +6,7 @@
 import { evictEngine } from './evictEngine.js'
 
 import type { EventLog, InstanceName, LogOffset, ModelId, TimerService } from '@figmount/base'
-import type { AgreedState, EngineReach, RecordsClient } from '@figmount/records'
+import type { AgreedState, EngineReachability, RecordsClient } from '@figmount/records'
 import type { AgentLinks } from '../links/createAgentLinks.js'
 import type { Membership } from '../membership/createMembership.js'
 import type { AbsentEngine, Eviction } from './types.js'
@@ -27,7 +27,7 @@
 /** Reachability of the engines of instances that are no longer on the platform's list. */
 export interface AbsentEngines {
   /** `reachable`, which prevents a void, until a check has shown otherwise. */
-  readonly reachOf: (instance: InstanceName) => EngineReach
+  readonly reachOf: (instance: InstanceName) => EngineReachability
   readonly run: () => Promise<void>
 }
 
@@ -41,9 +41,9 @@
 /** Periodically checks the engines of unlisted instances, which must be evicted before rights are voided. */
 export const watchAbsentEngines = (options: Options): AbsentEngines => {
   const { instance: own, records, membership, links, timers, events, signal } = options
-  let reachByInstance: ReadonlyMap<InstanceName, EngineReach> = new Map()
+  let reachByInstance: ReadonlyMap<InstanceName, EngineReachability> = new Map()
 
-  const checkEngine = async (instance: InstanceName): Promise<EngineReach> => {
+  const checkEngine = async (instance: InstanceName): Promise<EngineReachability> => {
     const state = records.state()
     // The agent itself is connected: it was dropped from the list by mistake or has not stopped yet.
     if (links.viewOf(instance)?.isOpen) return 'reachable'
