--- a/packages/gateway/src/agents/constants.ts
+++ b/packages/gateway/src/agents/constants.ts
@@ -15,7 +15,7 @@
 
 /**
  * An agent that sent nothing for this long was paused or cut off, so messages that it relays then may have been delayed there. Heartbeats
- * arrive up to one and a half of their period apart.
+ * arrive up to one and a half heartbeat periods apart.
  */
 export const DELAYED_AFTER_MS = 1_750
 
--- a/packages/gateway/src/agents/createAgentLink.ts
+++ b/packages/gateway/src/agents/createAgentLink.ts
@@ -18,7 +18,7 @@
   readonly handlers: AgentHandlers
 }
 
-/** Keeps a link to one agent open until it is closed. */
+/** Creates a link to one agent, which reconnects until it is closed. */
 export const createAgentLink = ({ serverAddress, agentAddress, context, handlers }: Options): AgentLink => {
   const { timers, events } = context
   const closing = new AbortController()
@@ -53,7 +53,7 @@
   const openWant = ({ adapterName, ...rest }: WantRequest): OpenWant => {
     const wantId = nextWantId++
     // The agent settles each want within `timeLeftMs`. This timer covers an agent that stops answering. `timeLeftMs` is the caller's
-    // patience less the time to answer it, so nothing may be added to it.
+    // patience less the time to answer it: a longer timer would end after the caller has left.
     const stopTimer = timers.after(rest.timeLeftMs, () => settle(wantId, { isReady: false, isLost: false, reason: 'not in time' }))
     const outcome = new Promise<WantOutcome>(resolve => {
       wants.set(wantId, end => {
--- a/packages/gateway/src/agents/types.ts
+++ b/packages/gateway/src/agents/types.ts
@@ -1,7 +1,7 @@
 import type { PackedMessage } from '@figmount/peers'
 import type { AgentLoad, AgentState, Crash, ListRead, Relay, RouterMessage, UnitsAnswered } from '@figmount/fleet'
 
-/** The outcome of a want. */
+/** The outcome of a want, which is a router's request to an agent to have a model or an adapter loaded. */
 export interface WantOutcome {
   readonly isReady: boolean
   /** The engine or its agent went down. */
@@ -9,7 +9,7 @@
   readonly reason: string
 }
 
-/** A model or an adapter that a router wants an agent to load. */
+/** The content of a want: the model or adapter to load, and how urgently the router's callers need it. */
 export interface WantRequest {
   readonly serverId: string
   readonly modelName: string
--- a/packages/gateway/src/demand/createUnmetModels.test.ts
+++ b/packages/gateway/src/demand/createUnmetModels.test.ts
@@ -4,7 +4,7 @@
 import { createUnmetModels } from './createUnmetModels.js'
 
 describe('a model whose requests are not served', () => {
-  it('is counted across successive callers', () => {
+  it('accumulates the waiting time of successive callers', () => {
     const timers = createVirtualTimers()
     const unmet = createUnmetModels(timers)
     expect(unmet.note('m')).to.equal(0)
@@ -15,7 +15,7 @@
     expect(unmet.note('other')).to.equal(0)
   })
 
-  it('is counted from zero after it was served', () => {
+  it('has its waiting time counted from zero again after it was served', () => {
     const timers = createVirtualTimers()
     const unmet = createUnmetModels(timers)
     unmet.note('m')
@@ -24,7 +24,7 @@
     expect(unmet.note('m')).to.equal(0)
   })
 
-  it('is counted from zero if no caller has returned for a while', () => {
+  it('has its waiting time counted from zero again if no caller has returned for a while', () => {
     const timers = createVirtualTimers()
     const unmet = createUnmetModels(timers)
     unmet.note('m')
--- a/packages/gateway/src/directory/createDepartures.ts
+++ b/packages/gateway/src/directory/createDepartures.ts
@@ -3,10 +3,10 @@
 import type { TimerService } from '@figmount/base'
 import type { ServerStart } from '@figmount/fleet'
 
-/** Longer than any request continues on a server that is leaving or has died. */
+/** Longer than any request still runs on a server that is leaving or has died. */
 const RETENTION_MS = 60_000
 
-/** A server that announced its departure at least this long before its end exits gracefully: it serves for a second or more after it. */
+/** A server that was draining or unlisted for this long before its end has exited gracefully: it serves for a second or more after that. */
 const GRACEFUL_EXIT_MS = 500
 
 /** A server that is draining or is no longer listed. */
@@ -25,11 +25,11 @@
   readonly forget: (serverId: string) => void
   /** Last address of a server that is draining or no longer listed. */
   readonly addressOf: (serverId: string) => string | undefined
-  /** The start, on which a run was interrupted at `brokenMs`, had been leaving for a while before it exited. */
+  /** True if this start of a server, on which a run was interrupted at `brokenMs`, was draining or unlisted for a while before it ended. */
   readonly hasExitedGracefully: (start: ServerStart, brokenMs: number) => boolean
 }
 
-/** Creates the departures of one router. */
+/** Creates one router's record of departures. */
 export const createDepartures = (timers: TimerService): Departures => {
   const departures = new Map<string, Departure>()
   const goneMs = new Map<string, number>()
--- a/packages/gateway/src/directory/createDirectory.ts
+++ b/packages/gateway/src/directory/createDirectory.ts
@@ -66,8 +66,8 @@
 
   const missingEntries = createMissingEntries(timers, remove)
 
-  // Guards against a server that restarts under the same id: its models, failures, requests and cached prefixes from before are gone.
-  // Identified by its id alone it would get requests for models it no longer holds, and streams that ran on the previous start would
+  // Guards against mistaking a server that has restarted under the same id for its previous start, whose models, failures, requests and
+  // cached prefixes are gone. It would get requests for models it no longer holds, and streams that ran on the previous start would
   // stay silent.
   const noteStart = ({ serverId, startedAtUnixMs }: ServerStart): void => {
     const start = { serverId, startedAtUnixMs }
--- a/packages/gateway/src/directory/createMissingEntries.ts
+++ b/packages/gateway/src/directory/createMissingEntries.ts
@@ -22,7 +22,7 @@
   readonly settle: () => void
 }
 
-/** Creates the missing entries of one router's list. */
+/** Creates the tracker of missing entries in one router's list. `remove` is called for each server that is gone. */
 export const createMissingEntries = (timers: TimerService, remove: (serverId: string, reason: string) => void): MissingEntries => {
   const missing = new Set<string>()
   let isStoreDown = false
--- a/packages/gateway/src/directory/types.ts
+++ b/packages/gateway/src/directory/types.ts
@@ -7,16 +7,16 @@
 
 /** A router's view of one backend server. */
 export interface KnownServer {
-  /** The list's entry; without models if it belongs to an earlier start. */
+  /** The server's entry in the list; without its models if the entry is from an earlier start. */
   readonly entry: ServerEntry
-  /** The newest known start of the server. */
+  /** The newest known start of the server: one run of its process, until it exits or restarts. */
   readonly start: ServerStart
   /** The agent's latest state; undefined if no agent reports on this start of the server. */
   readonly state: AgentState | undefined
   readonly load: AgentLoad | undefined
   /** The agent reports a later start, or another server at this address: this start is gone although it is still listed. */
   readonly isReplaced: boolean
-  /** Arrival time of `state`, from which the times in it count. */
+  /** Arrival time of `state`; durations in `state` are counted from it. */
   readonly stateAsOfMs: number
   readonly failures: FailureShare
   /** Own requests to the server that have no final answer yet. */
@@ -50,7 +50,7 @@
    * that merely disappeared from the list may still finish its requests.
    */
   readonly isDead: (start: ServerStart) => boolean
-  /** Before this start of the server ended, on which a run was interrupted at `brokenMs`, it had been draining or unlisted for a while. */
+  /** True if this start of a server, on which a run was interrupted at `brokenMs`, was draining or unlisted for a while before it ended. */
   readonly hasExitedGracefully: (start: ServerStart, brokenMs: number) => boolean
   /** Addresses of engines whose agents wait for the end of a model's requests to unload it. */
   readonly leavingAddresses: () => Iterable<string>
--- a/packages/gateway/src/ingress/readBody.ts
+++ b/packages/gateway/src/ingress/readBody.ts
@@ -9,7 +9,10 @@
   /** The router's stop ended before the body did. */
   | { readonly type: 'stopped' }
 
-/** Reads a request's body up to a limit, until the end of the stop: an earlier answer would meet bytes still in transit and may be lost. */
+/**
+ * Reads a request's body up to a limit. A stopping router waits for it until the end of the stop: an earlier answer would be sent while
+ * bytes are still in transit and may be lost.
+ */
 export const readBody = async (message: IncomingMessage, maxBytes: number, stop: Stop): Promise<BodyRead> =>
   await new Promise(resolve => {
     const chunks: Buffer[] = []
--- a/packages/gateway/src/ingress/startIngress.ts
+++ b/packages/gateway/src/ingress/startIngress.ts
@@ -30,13 +30,13 @@
   })
 }
 
-/** Does not promise that the request has not run: one whose handler failed may have. */
+/** Status for a request whose handler failed. It does not claim that the request was not run, because it may have been. */
 const BAD_GATEWAY = 502
 
 /** The newest request of a connection. */
 interface LatestRequest {
   readonly response: ServerResponse
-  /** The connection is keep-alive by the caller's request. */
+  /** True if the caller asked for a keep-alive connection with this request. */
   readonly isKept: boolean
 }
 
--- a/packages/gateway/src/limits/createQuotas.test.ts
+++ b/packages/gateway/src/limits/createQuotas.test.ts
@@ -46,7 +46,7 @@
 const TAKEN: Answer = { outcome: 'taken', waitMs: 0 }
 
 describe('quotas of a router', () => {
-  it('are counted by one agent, which is informed of it', async () => {
+  it('are counted by one agent, which is first informed that it was chosen', async () => {
     const { sent, admit, asksTo } = setUp({ 'a:1': TAKEN, 'b:1': TAKEN })
     expect(await admit(10)).to.deep.equal({ isAdmitted: true })
     expect(await admit(10)).to.deep.equal({ isAdmitted: true })
@@ -55,7 +55,7 @@
     expect(sent[0]).to.deep.equal({ to: first, message: { type: 'limiterChosen', organisations: ['acme'], routerCount: 2 } })
   })
 
-  it('refuse at once what cannot fit yet, without asking the limiter again', async () => {
+  it('refuse at once, without asking the limiter, until the time that it gave with a refusal', async () => {
     // Guards against an organisation far over its limit whose refusals cost as much as its requests.
     const { admit, asksTo } = setUp({ 'a:1': { outcome: 'refused', waitMs: 2_000 } })
     expect(await admit(100)).to.deep.equal({ isAdmitted: false, isOverLimit: true, retryAfterMs: 2_000 })
--- a/packages/gateway/src/limits/createQuotas.ts
+++ b/packages/gateway/src/limits/createQuotas.ts
@@ -6,7 +6,10 @@
 import type { TokenBucket } from '@figmount/decisions'
 import type { Organisation, Organisations, OrganisationLimit, RouterMessage, UnitsAnswered } from '@figmount/fleet'
 
-/** Time limit for a limiter's answer, which takes a few ms: a slower limiter is paused or unreachable. */
+/**
+ * Time limit for the answer of a limiter, the agent that counts an organisation's requests for all routers. An answer takes a few ms: a
+ * slower limiter is paused or unreachable.
+ */
 const ANSWER_MS = 150
 
 /** Time for which a limiter that did not answer is not used. */
@@ -42,7 +45,7 @@
   readonly send: (serverAddress: string, message: RouterMessage) => void
 }
 
-/** Counts requests against their organisations' limits, which all routers share. */
+/** Counts requests against their organisations' limits, which all routers share. A limit is a rate of units: requests or tokens. */
 export interface Quotas {
   /** Takes units for a request, waiting up to `maxWaitMs` for them. */
   readonly admit: (organisation: Organisation, units: number, maxWaitMs: number) => Promise<Admission>
--- a/packages/gateway/src/limits/createRouterCount.ts
+++ b/packages/gateway/src/limits/createRouterCount.ts
@@ -1,6 +1,6 @@
 import type { TimerService } from '@figmount/base'
 
-/** A router that was not seen for longer than this is gone. */
+/** Time for which the highest count is kept: a router that was not seen for longer is gone. */
 const RETENTION_MS = 30_000
 
 /** The highest number of routers that agents have reported recently. */
@@ -9,7 +9,7 @@
   readonly count: () => number
 }
 
-/** Creates the count of one router. A router that is cut off still counts, as it still admits its share of all limits. */
+/** Creates the count of one router. A router that is cut off is counted for a while, because it still admits its share of all limits. */
 export const createRouterCount = (timers: TimerService): RouterCount => {
   let most = 1
   let seenMs = -Infinity
--- a/packages/gateway/src/limits/quotaFaults.test.ts
+++ b/packages/gateway/src/limits/quotaFaults.test.ts
@@ -13,7 +13,7 @@
 const LIMIT = { unit: 'tokens', unitsPerS: 29_000, burstUnits: 29_000, plainUnits: 200 } as const
 const ACME: Organisation = { name: 'acme', priority: undefined, limit: LIMIT }
 
-/** Units that may be admitted beyond the limit in a window. */
+/** Units that may be admitted beyond the limit in a window of `WINDOW_MS`: the fraction `OVERAGE` of the limit, and `SLACK_UNITS`. */
 const OVERAGE = 0.1
 const SLACK_UNITS = 110_000
 const WINDOW_MS = 8_000
@@ -164,7 +164,7 @@
     expect(maxUnitsInWindow(passed)).to.be.within(0.95 * LIMIT.unitsPerS * 8, LIMIT.unitsPerS * 8 + LIMIT.burstUnits + 20_000)
   })
 
-  it('never exceeds its limit, whichever agents die, pause or are cut off', async () => {
+  it('exceeds its limit by no more than the allowed units, whichever agents die, pause or are cut off', async () => {
     // Guards against two limiters that both grant the same part of a limit.
     for (let seed = 1; seed <= 12; seed++) {
       const passed = await simulate(seed, 700, 25_000)
--- a/packages/gateway/src/placing/createColdLoads.ts
+++ b/packages/gateway/src/placing/createColdLoads.ts
@@ -51,8 +51,8 @@
   }
 
   // Guards against a load that is mistaken for proof of spare capacity: the store slows a load by those in progress when it started, so
-  // the first of two takes no longer than alone. Attributed to both, its time would make routers start ever more loads at a store that
-  // carries one. Agents' messages may arrive out of order, so an older load may be reported after a newer one.
+  // the first of two takes no longer than alone. If it counted as one of two concurrent loads, routers would start ever more loads at a
+  // store that carries one. Agents' messages may arrive out of order, so an older load may be reported after a newer one.
   const noteBegun = (address: string, modelName: string, beganMs: number): void => {
     let concurrentCount = 1
     for (const [other, load] of running) {
--- a/packages/gateway/src/placing/watchReplicas.ts
+++ b/packages/gateway/src/placing/watchReplicas.ts
@@ -77,8 +77,8 @@
 }
 
 /**
- * Reviews the replicas of all models. All routers decide by the same figures, so each one acts, at random, in only one of as many reviews
- * as there are routers: a shortage is not answered by all of them at once.
+ * Reviews the replicas of all models. All routers decide by the same figures, so each one skips reviews at random and acts in one of N on
+ * average, where N is the number of routers: a shortage is not answered by all of them at once.
  */
 export const watchReplicas = (context: GatewayContext): void => {
   if (context.random() * Math.max(1, context.routerCount()) > 1) return
--- a/packages/gateway/src/requests/awaitModel.ts
+++ b/packages/gateway/src/requests/awaitModel.ts
@@ -21,7 +21,10 @@
   | { readonly type: 'lost', readonly reason: string, readonly retryAfterMs: number }
   | RefusedWait
 
-/** Ends a wait at a stopping router. The caller returns when a load in progress ends, or at once so that another router starts the load. */
+/**
+ * Ends the wait of a request at a stopping router. If the load is in progress, the caller is told to retry when it ends; otherwise at once,
+ * so that another router starts the load.
+ */
 const endWaitAtStop = (context: GatewayContext, { server }: Loader, modelName: string, readyAtMs: number): ModelWait => {
   const state = context.directory.find(server.entry.serverId)?.state
   const hasBegun = state?.loadingModel === modelName && state.loadingForMs > 0
--- a/packages/gateway/src/requests/constants.ts
+++ b/packages/gateway/src/requests/constants.ts
@@ -1,4 +1,4 @@
-/** Servers answer by the deadline they are given; this covers the answer's way back. */
+/** Time past a request's deadline for which its answer is awaited. Servers answer by the deadline; this covers the answer's way back. */
 export const ANSWER_GRACE_MS = 150
 
 /** A request with less time left is not sent: the round trip to a server alone takes 2 to 8 ms. */
--- a/packages/gateway/src/requests/shouldShed.ts
+++ b/packages/gateway/src/requests/shouldShed.ts
@@ -3,7 +3,10 @@
 
 import type { GatewayContext, RoutedRequest } from './types.js'
 
-/** Engines admit requests of a higher priority first, so queued ones do not delay those of the top priority. */
+/**
+ * True if no other organisation, or no other route of the service, is more urgent than this request. Engines admit more urgent requests
+ * first, so the ones that are queued do not delay it.
+ */
 const hasTopPriority = (context: GatewayContext, { organisation, priority, serviceName }: RoutedRequest): boolean => {
   const { organisations, routes = [] } = context.deployment() ?? {}
   if (organisation?.priority !== undefined) return !organisations?.all.some(other => other.priority !== undefined && other.priority < priority)
--- a/packages/gateway/src/requests/types.ts
+++ b/packages/gateway/src/requests/types.ts
@@ -35,7 +35,7 @@
   readonly occupancy: OccupancyMeter
   readonly dataCentre: string
   readonly deployment: () => Deployment | undefined
-  /** The highest number of routers seen so far. */
+  /** The highest number of routers that agents have reported since this router's start; it never falls. */
   readonly routerCount: () => number
   readonly stop: Stop
   readonly random: () => number
--- a/packages/gateway/src/router/constants.ts
+++ b/packages/gateway/src/router/constants.ts
@@ -5,8 +5,8 @@
 export const LIST_AGE_SHARE = 0.4
 
 /**
- * Fraction of that time over which routers spread their reads at random, so that the first one saves the others theirs. The remainder
- * covers a slow read and requests in transit.
+ * Fraction of that time over which routers spread their reads at random, so that the first read makes those of the others unnecessary. The
+ * remainder covers a slow read and requests in transit.
  */
 export const LIST_SPREAD_SHARE = 0.15
 
--- a/packages/gateway/src/router/createCatchUp.test.ts
+++ b/packages/gateway/src/router/createCatchUp.test.ts
@@ -20,7 +20,7 @@
     expect(asked).to.deep.equal(['a'])
   })
 
-  it('requests nothing when the store was as fast', () => {
+  it('requests nothing if the store delivers the configuration in time', () => {
     const { timers, catchUp, asked, learn } = setUp()
     catchUp.note('a', 4)
     learn(4)
--- a/packages/gateway/src/router/createListChanges.test.ts
+++ b/packages/gateway/src/router/createListChanges.test.ts
@@ -43,7 +43,7 @@
     expect(isChange(changes, { key: 'a', value: Buffer.from('{'), offset: 0 })).to.equal(true)
   })
 
-  it('include other models only if no agent reports them', () => {
+  it('include a change of a server\'s models only if no agent reports its state', () => {
     const models = [{ name: 'm', adapters: [] }]
     for (const hasAgentState of [true, false]) {
       const changes = setUp(hasAgentState)
--- a/packages/gateway/src/router/createReadSchedule.test.ts
+++ b/packages/gateway/src/router/createReadSchedule.test.ts
@@ -13,7 +13,7 @@
     expect(setUp().schedule.dueInMs()).to.equal(0)
   })
 
-  it('count from when the read began', () => {
+  it('are due one period after the previous read began', () => {
     const { timers, schedule } = setUp(0.5)
     timers.advance(1_000)
     schedule.note(900)
--- a/packages/gateway/src/router/followFeeds.ts
+++ b/packages/gateway/src/router/followFeeds.ts
@@ -108,9 +108,9 @@
     },
     regained: outageMs => {
       directory.missingEntries.noteRegained()
-      // Guards against a network cut that leaves the read of the configuration waiting on a dead connection: it would wait for seconds while
-      // requests are served by an older configuration. A router that receives no reads from others reads the list itself, which shows
-      // the end of the cut; one that receives them also receives configurations.
+      // Guards against a network cut that leaves the read of the configuration waiting on a dead connection: it would wait for seconds
+      // while requests are served by an older configuration. A router that receives no reads from others reads the list itself, which
+      // shows the end of the cut; one that receives them also receives configurations.
       deployments.readNow()
       regained(store.serverFeed.name, outageMs)
     }
--- a/packages/gateway/src/stopping/createStop.ts
+++ b/packages/gateway/src/stopping/createStop.ts
@@ -14,7 +14,7 @@
   for (const listener of [...listeners]) listener()
 }
 
-/** Creates the stop of one router, which may take `stopMs` from its request. */
+/** Creates the stop of one router. It may take `stopMs` from the time at which it is requested. */
 export const createStop = (timers: TimerService, stopMs: number): RouterStop => {
   const askedListeners: Listeners = new Set()
   const endListeners: Listeners = new Set()
@@ -30,8 +30,8 @@
     isClosing: () => timers.nowMs() >= closingMs(),
     isEnded: () => isEnded,
     lastSendMs: objectiveMs => endMs() - Math.max(MIN_ANSWER_MS, objectiveMs),
-    // Guards against a stream that stays incomplete because its server was lost late in the stop: a request that has run cannot be
-    // refused any more, so it is retried until the end, which would interrupt it no worse.
+    // Guards against a stream that stays incomplete because its server was lost late in the stop. A request that has run cannot be refused
+    // any more, so it is retried until the end of the stop: if the retry is cut off there, its caller is no worse off.
     lastRetryMs: endMs,
     onAsked: listener => listen(askedListeners, listener),
     onEnded: listener => listen(endListeners, listener),
--- a/packages/gateway/src/stopping/drain.ts
+++ b/packages/gateway/src/stopping/drain.ts
@@ -14,7 +14,7 @@
   readonly events: EventLog
 }
 
-/** Takes no new requests after a while and lets open ones finish; those still open when the stop ends get their final answer then. */
+/** Runs a router's stop: takes no new requests after a while and lets open ones finish; the rest get their final answer at its end. */
 export const drain = async ({ stop, ingress, timers, events }: Options): Promise<void> => {
   const waitUntilEmpty = async (waitMs: number): Promise<void> => {
     const untilMs = timers.nowMs() + waitMs
@@ -27,8 +27,9 @@
   stop.ask()
   ingress.endConnections()
   await sleep(timers, stop.closingInMs())
-  // Guards against requests in the last seconds, as callers in a data centre with one router have no other: a stream taken then would be cut
-  // when the process must end. The system rejects new connections, and requests on open ones are refused; both may be sent elsewhere.
+  // Guards against a stream that is taken in the last seconds and cut off when the process must end. In a data centre with one router
+  // callers keep sending to it while it listens. Once it does not, the system rejects new connections and requests on open ones are
+  // refused; both may be sent elsewhere.
   ingress.stopListening()
   ingress.closeIdle()
   await waitUntilEmpty(stop.endsInMs())
