--- a/packages/router/src/peers/createExchange.ts
+++ b/packages/router/src/peers/createExchange.ts
@@ -27,7 +27,7 @@
 
 /**
  * Exchanges records and suspicions with peers, so that a process that is disconnected from the log
- * still receives them. Records that arrive late are harmless, because the fold never goes back.
+ * still receives them. Records that arrive late are harmless: those below the applied offset are ignored.
  */
 export const createExchange = ({ records, suspects, timers, events, forwardSuspicion, onLeaving }: Options): Exchange => {
   let isRequestPending = false
--- a/packages/router/src/proposals/createProposerList.ts
+++ b/packages/router/src/proposals/createProposerList.ts
@@ -7,9 +7,9 @@
 }
 
 /**
- * Returns the routers that take turns in making proposals. Routers that are listed but cannot propose
- * (crashed or disconnected from the log) are excluded; otherwise rights would stay free during their
- * turn, which lasts up to a minute.
+ * Creates a function that returns the routers that take turns in making proposals. Routers that are
+ * listed but cannot propose (crashed or disconnected from the log) are excluded; otherwise rights would
+ * stay free during their turn, which lasts up to a minute.
  */
 export const createProposerList = ({ own, listed, cannotPropose }: Options): (() => readonly InstanceName[]) => {
   let last: readonly InstanceName[] = [own]
--- a/packages/router/src/requests/readNotice.ts
+++ b/packages/router/src/requests/readNotice.ts
@@ -12,8 +12,10 @@
 /** Action that the task of an attempt takes for a notice. */
 export type NoticeAction =
   | { readonly kind: 'wait' }
+  /** Store the part, which is sent whenever no other part was sent to the caller for a while. */
   | { readonly kind: 'remember', readonly waiting: AnswerPart }
   | { readonly kind: 'show', readonly part: TokensPart }
+  /** Request missing frames from the agent. */
   | { readonly kind: 'ask', readonly fromFrame: number }
   | { readonly kind: 'drop', readonly reason: string }
   | { readonly kind: 'finish', readonly part: AnswerPart }
@@ -24,6 +26,7 @@
   readonly action: NoticeAction
 }
 
+/** Properties of an attempt that do not change while it runs. */
 export interface AttemptFacts {
   readonly agent: InstanceName
   readonly repeatable: boolean
--- a/packages/router/src/routing/types.ts
+++ b/packages/router/src/routing/types.ts
@@ -8,6 +8,7 @@
   readonly agents: AgreedState['agents']
   readonly list: InstanceList
   readonly viewOf: (instance: InstanceName) => AgentView | undefined
+  /** Estimated work, in seconds, that this router sent to an agent and that its report does not cover yet. */
   readonly unreportedSeconds: (instance: InstanceName, reportAtMs: number) => number
   readonly hasPrefix: (instance: InstanceName) => boolean
   readonly ownDataCentre: DataCentre
--- a/packages/router/src/voids/constants.ts
+++ b/packages/router/src/voids/constants.ts
@@ -6,6 +6,6 @@
 
 /**
  * Time off the list after which an instance with an unknown address counts as unreachable. This is
- * four times what a void requires, so that a router that has the address acts first.
+ * four times the time that a void requires, so that a router that has the address acts first.
  */
 export const UNKNOWN_ADDRESS_MS = 120_000
--- a/packages/router/src/voids/types.ts
+++ b/packages/router/src/voids/types.ts
@@ -1,7 +1,7 @@
 import type { EitherAsync } from 'purify-ts'
 import type { Fault, InstanceName, LogOffset, ModelId } from '@figmount/base'
 
-/** The part of an engine's inventory that decides whether rights may be voided. */
+/** The part of an engine's inventory that decides whether the rights of its instance may be voided. */
 export interface EngineInventory {
   readonly models: readonly string[]
   readonly enforcesFence: boolean
--- a/packages/router/src/voids/watchAbsentEngines.ts
+++ b/packages/router/src/voids/watchAbsentEngines.ts
@@ -38,7 +38,10 @@
   fence: state.nextOffset as LogOffset
 })
 
-/** Periodically checks the engines of unlisted instances, which must be evicted before rights are voided. */
+/**
+ * Periodically checks the engines of unlisted instances, which must be evicted before rights are voided. A void is a log record that frees
+ * all rights of an instance, so that others can be granted them.
+ */
 export const watchAbsentEngines = (options: Options): AbsentEngines => {
   const { instance: own, records, membership, links, timers, events, signal } = options
   let reachByInstance: ReadonlyMap<InstanceName, EngineReach> = new Map()
