--- a/packages/gateway/src/directory/types.ts
+++ b/packages/gateway/src/directory/types.ts
@@ -37,6 +37,7 @@
   readonly takeKeys: (keys: ReadonlySet<string>) => void
   /** Entries that are missing because of an outage of the store. */
   readonly missingEntries: MissingEntries
+  /** Takes the state that the agent of the engine at an address reports. */
   readonly takeState: (address: string, state: AgentState) => void
   readonly takeLoad: (address: string, load: AgentLoad) => void
   readonly loseAgent: (address: string) => void
@@ -54,6 +55,7 @@
   readonly hasExitedGracefully: (start: ServerStart, brokenMs: number) => boolean
   /** Addresses of engines whose agents wait for the end of a model's requests to unload it. */
   readonly leavingAddresses: () => Iterable<string>
+  /** True if `leavingAddresses` is not empty. */
   readonly hasLeaving: () => boolean
   /** Listed servers of services in the configuration in force. */
   readonly entries: () => readonly ServerEntry[]
@@ -65,9 +67,11 @@
   /** Models of own requests that run on the engine at an address. */
   readonly runningModels: (address: string) => readonly string[]
   readonly own: OwnRequests
+  /** Updates the failure share of a server, unless it has restarted since. */
   readonly noteOutcome: (start: ServerStart, hasFailed: boolean) => void
   /** Another server has taken over the address. */
   readonly noteReplaced: (start: ServerStart) => void
   readonly prefixes: PrefixIndex
+  /** True once the list was read. */
   readonly hasList: () => boolean
 }
--- a/packages/gateway/src/placing/requestReplica.ts
+++ b/packages/gateway/src/placing/requestReplica.ts
@@ -7,7 +7,7 @@
 import type { KnownServer } from '../directory/types.js'
 import type { GatewayContext } from '../requests/types.js'
 
-/** A replica requested ahead of demand is dropped after this time: that of two loads from a slow weight store. */
+/** Lifetime of a want for a replica ahead of demand: the time of two loads from a slow weight store. */
 const PROACTIVE_WANT_MS = 30_000
 
 /**
--- a/packages/gateway/src/placing/watchReplicas.ts
+++ b/packages/gateway/src/placing/watchReplicas.ts
@@ -19,8 +19,9 @@
 interface ModelPlacement {
   readonly model: ModelSpec
   readonly replicaCount: number
+  /** Engines that are loading the model or have its load queued. */
   readonly comingCount: number
-  /** Engines that hold the model or have a copy of its weights. */
+  /** Engines that hold the model, or have a copy of its weights in memory or on disk. */
   readonly copyCount: number
   readonly promptTokensPerS: number
 }
@@ -67,7 +68,7 @@
     placement.promptTokensPerS > BUSY_TOKENS_PER_S && placement.copyCount < MIN_BUSY_COPIES && placement.comingCount === 0)
   if (scarce) ask(scarce, 'few copies')
   // A model without any replica or copy costs its next caller a load from the weight store. Loading it while no caller waits leaves a
-  // copy on the engine's disk, from which it is loaded in half a second. Models whose callers were refused recently come first.
+  // copy on the engine's disk, from which it is loaded in half a second. The model with the highest request rate comes first.
   const isIdle = placements.every(placement => placement.promptTokensPerS === 0)
   const absent = placements
     .filter(placement => placement.copyCount === 0 && placement.comingCount === 0)
--- a/packages/gateway/src/router/createDemandReporter.ts
+++ b/packages/gateway/src/router/createDemandReporter.ts
@@ -24,7 +24,7 @@
 export interface DemandReporter {
   /** Sends each agent the changes since the last report. */
   readonly report: () => void
-  /** Informs agents that wait to unload a model at once when the router's own requests for it have ended. */
+  /** Reports the router's running models to agents that wait to unload one, without waiting for `report`; only if they have changed. */
   readonly reportLeaving: () => void
 }
 
--- a/packages/gateway/src/router/createReadSchedule.ts
+++ b/packages/gateway/src/router/createReadSchedule.ts
@@ -21,8 +21,8 @@
  * Creates the schedule of one router.
  *
  * Load pattern: many routers share a store that charges for every call. Each router's read postpones those of all others, and each draws
- * its next time at random, so that another router reads first each time. A router that receives no reads, because the reader has died or
- * its own links are cut, reads at its own time.
+ * its next time at random, so that a different router reads first each time. A router that receives no reads, because the reader has
+ * died or its own links are cut, reads at its own time.
  */
 export const createReadSchedule = ({ timers, periodMs, spreadMs, random }: Options): ReadSchedule => {
   let newestMs = -Infinity
--- a/packages/gateway/src/stopping/types.ts
+++ b/packages/gateway/src/stopping/types.ts
@@ -2,6 +2,7 @@
 
 /** Progress of a router's stop. */
 export interface Stop {
+  /** True once a stop was requested. */
   readonly isAsked: () => boolean
   /** The router takes no new requests any more. */
   readonly isClosing: () => boolean
@@ -19,10 +20,12 @@
 
 /** The router's own view of its stop, which also controls it. */
 export interface RouterStop extends Stop {
+  /** Requests the stop; a second call changes nothing. */
   readonly ask: () => void
   /** Time until the router takes no new requests. */
   readonly closingInMs: () => number
   /** Time until the end of the stop. */
   readonly endsInMs: () => number
+  /** Ends the stop: calls the `onEnded` listeners, which have open requests answered. */
   readonly end: () => void
 }
--- a/packages/gateway/src/streams/relayEvents.ts
+++ b/packages/gateway/src/streams/relayEvents.ts
@@ -18,7 +18,7 @@
   readonly take: (event: StreamEvent) => boolean
   /** Calls back once the reader can take more. */
   readonly onceDrained: (resume: () => void) => void
-  /** Time without an event after which the stream counts as broken. */
+  /** Time without data from the server after which the stream counts as broken. */
   readonly silenceMs: number
 }
 
