--- a/packages/decisions/src/admission/admitByDeadline.ts
+++ b/packages/decisions/src/admission/admitByDeadline.ts
@@ -26,8 +26,8 @@
 })
 
 /**
- * A model that becomes ready serves all that wait for it in parallel, so its callers may retry at the same time. When their
- * retries were spread over the drain time of the whole server, they came up to a minute after their model was ready.
+ * A model that becomes ready serves all requests that wait for it in parallel, so its callers may retry at the same time. When
+ * their retries were spread over the drain time of the whole server, they came up to a minute after their model was ready.
  */
 const refuseUntilReady = (view: AdmissionView, shortfallMs: number, random: () => number): AdmissionVerdict =>
   refuse({ ...view, recentRefusals: 0 }, shortfallMs, 'its model is not ready before its deadline', random)
@@ -35,7 +35,7 @@
 /**
  * Admits a request only when its last token is expected before its deadline, and refuses any other at once.
  *
- * Load pattern: demand above capacity for longer than the queue can absorb. Otherwise every request waits until its
+ * Load pattern: demand above capacity for longer than the queue can absorb. Without this rule every request waits until its
  * deadline and fails there: the server spends its full capacity on answers that no caller receives, and callers lose
  * the time in which they could have tried elsewhere.
  *
--- a/packages/decisions/src/admission/types.ts
+++ b/packages/decisions/src/admission/types.ts
@@ -7,7 +7,7 @@
   readonly readyInMs: number
   /** Work ahead of this request at its priority, in seconds at the current speed. */
   readonly secondsAhead: number
-  /** Upper bound that most requests of this kind stay below; `expectedTokens` when omitted. */
+  /** Upper bound on the tokens, which most requests of this kind stay below; `expectedTokens` when omitted. */
   readonly boundTokens?: number
   readonly tokenIntervalMs: number
   readonly queuedCount: number
--- a/packages/decisions/src/eviction/evictLeastLoss.ts
+++ b/packages/decisions/src/eviction/evictLeastLoss.ts
@@ -4,7 +4,7 @@
 const MS_PER_HOUR = 3_600_000
 /** Factor per priority step by which a caller's wait counts more, as in the order of loads. */
 const PRIORITY_STEP = 1.5
-/** Lower bound of the idle time that the expected rate is derived from: a model that was used this recently counts as used again soon. */
+/** Minimum idle time in the estimate of the expected rate. A model that was used more recently counts as used again soon. */
 const RECENT_MS = 60_000
 
 /** Residents that are evicted together: a model with its adapters, or a single adapter. */
--- a/packages/decisions/src/forwarding/failureShare.ts
+++ b/packages/decisions/src/forwarding/failureShare.ts
@@ -38,7 +38,7 @@
   readonly waitedMs: number
 }
 
-/** A caller that leaves after waiting this long without an answer left because of the server; earlier it had other reasons. */
+/** A caller that leaves without an answer after this long left because of the server; one that leaves earlier had other reasons. */
 const SILENT_LEAVE_MS = 1_000
 
 /**
--- a/packages/decisions/src/limits/takeUnits.ts
+++ b/packages/decisions/src/limits/takeUnits.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_S = 1_000
 
-/** Even a limit without a burst lets the units of this time through at once. */
+/** Minimum capacity of a bucket, as the units that accrue in this time: a limit without a burst lets this many through at once. */
 const MIN_BURST_S = 0.5
 
 /** Maximum units in a bucket. */
--- a/packages/decisions/src/loading/backOff.ts
+++ b/packages/decisions/src/loading/backOff.ts
@@ -11,7 +11,7 @@
   readonly loadMs: number
 }
 
-/** Time until an agent asks the weight store (again). `random` yields numbers in [0, 1). */
+/** Wait before an agent requests a load from the weight store, at first or again. `random` yields numbers in [0, 1). */
 export type ChooseLoadBackoff = (view: LoadPaceView, random: () => number) => number
 
 const FIRST_BACKOFF_MS = 500
--- a/packages/decisions/src/loading/orderByNeed.ts
+++ b/packages/decisions/src/loading/orderByNeed.ts
@@ -1,6 +1,6 @@
 import type { OrderLoads, WaitingLoad } from './types.js'
 
-/** A load's weight doubles after this time and triples after twice this time: a tenth of the minutes that a cold start may take. */
+/** A load's weight doubles after this time and triples after twice this time. A cold start may take minutes, ten times as long. */
 const AGING_MS = 10_000
 /** Factor per priority step; two steps outweigh twice the callers. */
 const PRIORITY_STEP = 1.5
--- a/packages/decisions/src/placing/constants.ts
+++ b/packages/decisions/src/placing/constants.ts
@@ -28,7 +28,7 @@
 /** A request that waits this much longer than necessary is late. */
 export const LATE_WAIT_S = 0.5
 
-/** Requests that a load may make late for each request that waits for it: that one is late itself, and a second usually follows. */
+/** Requests that a load may make late for each request that waits for it: the latter is late itself, and a second one usually follows. */
 export const WAITING_LOSS_LIMIT = 2
 
 /**
--- a/packages/decisions/src/placing/estimateBusy.ts
+++ b/packages/decisions/src/placing/estimateBusy.ts
@@ -21,7 +21,7 @@
  * Expected time until an engine has finished everything that precedes one more load. Loads of local copies overtake loads from
  * the weight store, which wait for the store rather than for the engine and take ten times as long (`planOrder`).
  *
- * Otherwise callers are refused by an idle engine because models without a local copy are queued on it.
+ * Guards against callers that are refused by an idle engine because models without a local copy are queued on it.
  */
 export const estimateBusyMs = ({ loadingLeftMs, coldWaitMs, roomMs, queued }: EngineQueue, hasLocalCopy: boolean): number => {
   let busyMs = loadingLeftMs
--- a/packages/decisions/src/placing/estimateSlotWait.test.ts
+++ b/packages/decisions/src/placing/estimateSlotWait.test.ts
@@ -4,7 +4,7 @@
 import { estimateSlotWaitMs } from './estimateSlotWait.js'
 import { planWait } from './planWait.js'
 
-const PLACE_COUNT = 32
+const SLOT_COUNT = 32
 const OCCUPANCY_MS = 1_900
 const PATIENCE_MS = 2_000
 const REPORT_AGE_MS = 100
@@ -13,7 +13,7 @@
 const RETRY_MS = 1_000
 
 interface Caller {
-  readonly askedMs: number
+  readonly requestedMs: number
   readonly isRetry: boolean
 }
 
@@ -37,24 +37,24 @@
   let leftCount = 0
   let servedCount = 0
   const requestSlot = (caller: Caller): void => {
-    const waitMs = estimateSlotWaitMs({ slotCount: PLACE_COUNT, occupancyMs: OCCUPANCY_MS, ...reported })
+    const waitMs = estimateSlotWaitMs({ slotCount: SLOT_COUNT, occupancyMs: OCCUPANCY_MS, ...reported })
     if (!isRefused(waitMs)) waiting.push(caller)
-    else if (!caller.isRetry) returning.push({ ...caller, askedMs: caller.askedMs + RETRY_MS * (1 + randomLength()), isRetry: true })
+    else if (!caller.isRetry) returning.push({ ...caller, requestedMs: caller.requestedMs + RETRY_MS * (1 + randomLength()), isRetry: true })
   }
   for (let nowMs = 0; nowMs < LENGTH_MS; nowMs += STEP_MS) {
     if (random() < perS * STEP_MS / 1_000) {
       callerCount += 1
-      requestSlot({ askedMs: nowMs, isRetry: false })
+      requestSlot({ requestedMs: nowMs, isRetry: false })
     }
-    for (const caller of returning.filter(({ askedMs }) => askedMs <= nowMs)) {
+    for (const caller of returning.filter(({ requestedMs: askedMs }) => askedMs <= nowMs)) {
       returning.splice(returning.indexOf(caller), 1)
       requestSlot(caller)
     }
     while (endsMs.length > 0 && Math.min(...endsMs) <= nowMs) endsMs.splice(endsMs.indexOf(Math.min(...endsMs)), 1)
-    while (waiting.length > 0 && endsMs.length < PLACE_COUNT) {
+    while (waiting.length > 0 && endsMs.length < SLOT_COUNT) {
       const caller = waiting.shift()
       if (!caller) break
-      if (nowMs - caller.askedMs > PATIENCE_MS) {
+      if (nowMs - caller.requestedMs > PATIENCE_MS) {
         leftCount += 1
         continue
       }
@@ -71,7 +71,7 @@
 const isHopeless = (waitMs: number): boolean => planWait({ readyInMs: waitMs, leftMs: PATIENCE_MS }).isHopeless
 
 /** Requests per second that the engine can serve. */
-const FULL_PER_S = PLACE_COUNT / OCCUPANCY_MS * 1_000
+const FULL_PER_S = SLOT_COUNT / OCCUPANCY_MS * 1_000
 
 const SEEDS = [1, 2, 3, 4, 5]
 
--- a/packages/decisions/src/placing/planOrder.ts
+++ b/packages/decisions/src/placing/planOrder.ts
@@ -64,13 +64,13 @@
 /** Minimum idle time of an adapter before it is unloaded: the engine refuses to unload one in use, and a recently used one may be. */
 const ADAPTER_IDLE_MS = 200
 
-/** Requests that may become late for a model that is loaded ahead of demand. */
+/** Number of requests that an eviction may make late to load a model ahead of demand. */
 const PRELOAD_LOSS_LIMIT = 0.2
 
-/** Share of a new replica's gain that its eviction may cost: demand moves, and both loads occupy the engine. */
+/** Share of a new replica's gain that the eviction for it may cost: demand moves, and both loads occupy the engine. */
 const GAIN_SHARE = 0.5
 
-/** Number of requests that may become late to make room for a model. */
+/** Number of requests that an eviction may make late to make room for a model. */
 const lossLimitOf = (want: WantView): number => {
   const ahead = Math.max(PRELOAD_LOSS_LIMIT, want.lateCount * GAIN_SHARE)
   return want.waitingCount === 0 ? ahead : want.waitingCount * (WAITING_LOSS_LIMIT + want.ageMs / WAIT_PER_LOSS_MS) + want.lateCount * GAIN_SHARE
--- a/packages/decisions/src/placing/planReplicas.ts
+++ b/packages/decisions/src/placing/planReplicas.ts
@@ -11,8 +11,8 @@
 /**
  * Models that need one more replica, those with the largest shortage first.
  *
- * Load pattern: demand that moves to other models within seconds. Otherwise the few replicas of a model that was rarely used
- * receive all of the new demand, prompts queue, and first events are late. Adding one replica at a time per model
+ * Load pattern: demand that moves to other models within seconds. Without new replicas the few replicas of a model that was
+ * rarely used receive all of the new demand, prompts queue, and first events are late. Adding one replica at a time per model
  * avoids requesting the same load twice.
  */
 export const planReplicas = (models: readonly ReplicaView[]): readonly string[] => {
--- a/packages/decisions/src/placing/planWait.ts
+++ b/packages/decisions/src/placing/planWait.ts
@@ -27,7 +27,7 @@
  * Decides whether a request waits for a model or an adapter.
  *
  * Load pattern: callers of an engine that accepts no order for seconds because it is loading another model. With a fixed maximum
- * wait they are refused late and return too late. Callers that get the expected time at once return when the model is ready.
+ * wait they are refused late and do not return when the model is ready. Callers that get the expected time at once do.
  */
 export const planWait = ({ readyInMs, leftMs }: WaitView): WaitPlan => {
   const isHopeless = readyInMs > leftMs * LOAD_SHARE
--- a/packages/decisions/src/queueing/constants.ts
+++ b/packages/decisions/src/queueing/constants.ts
@@ -3,14 +3,14 @@
   /**
    * A priority gets this many times the guaranteed share of the next lower one. With a factor of two, the lowest of ten priorities
    * still gets a thousandth of a full server, which is one request of 100 tokens about every 30 s. Three priorities
-   * apart the ratio is eight to one, close to strict priority unless the class itself demands most of the server.
+   * apart the ratio is eight to one, close to strict priority unless one priority alone demands most of the server.
    */
   priorityWeight: 2,
   /** Half-life of served tokens: long enough to detect a caller that sends too much, short enough to disregard yesterday's batch. */
   halfLifeMs: 30_000,
   /**
-   * Delay of the virtual arrival per expected token, so that short requests precede long ones, and a long one precedes them
-   * once it has waited for the delay of its own length. About one token interval.
+   * Delay of the virtual arrival per expected token, so that short requests precede long ones. A long one precedes them once it
+   * has waited as long as its own length delays it. About one token interval.
    */
   lengthWeightMs: 30,
   /**
--- a/packages/decisions/src/queueing/estimateAhead.ts
+++ b/packages/decisions/src/queueing/estimateAhead.ts
@@ -27,7 +27,10 @@
   return ahead
 }
 
-/** Tokens of requests with other priorities: each priority is served first until it has caught up with the request's own. */
+/**
+ * Tokens of requests with other priorities. Each of these priorities is served first until its served tokens, divided by its weight,
+ * reach those that the request's priority has when the request is served.
+ */
 const aheadInOtherPriorities = (waiting: readonly WaitingRequest[], request: WaitingRequest, inPriority: number, fairness: FairnessState, nowWeight: number): number => {
   const servedOf = (priority: number): number => (fairness.servedByPriority?.get(priority) ?? 0) / nowWeight
   const servedAtTurn = servedOf(request.priority) + inPriority / weightOfPriority(request.priority)
--- a/packages/decisions/src/queueing/types.ts
+++ b/packages/decisions/src/queueing/types.ts
@@ -11,7 +11,7 @@
   readonly priority: number
   /** Expected tokens of the answer, plus the cost of the prompt converted to tokens that take as long. */
   readonly expectedTokens: number
-  /** Upper bound that most requests of this kind stay below; `expectedTokens` when omitted. */
+  /** Upper bound on the tokens, which most requests of this kind stay below; `expectedTokens` when omitted. */
   readonly boundTokens?: number
   readonly arrivedAtMs: number
   readonly deadlineAtMs: number
--- a/packages/decisions/src/retries/spreadByDrainTime.ts
+++ b/packages/decisions/src/retries/spreadByDrainTime.ts
@@ -27,7 +27,7 @@
  * Lets a refused caller retry after the expected wait, at a random moment within the time that it takes to serve all
  * requests that were refused with it.
  *
- * Load pattern: an outage or a burst leaves thousands of callers that never give up. Otherwise they retry in
+ * Load pattern: an outage or a burst leaves thousands of callers that never give up. Without the spread they retry in
  * step and are refused in step, and this thundering herd repeats although the capacity suffices to serve them one after
  * the other.
  */
--- a/packages/decisions/src/routing/chooseLeastCost.ts
+++ b/packages/decisions/src/routing/chooseLeastCost.ts
@@ -36,7 +36,7 @@
 
 /**
  * A server that was measured slow gets one request of this router at a time until a new measurement clears it.
- * Otherwise all routers whose estimates decay at the same time send it a burst of probes, and the callers
+ * Without this limit all routers whose estimates decay at the same time send it a burst of probes, and the callers
  * among them wait ten times as long.
  */
 const isOnProbation = (cost: CandidateCost): boolean =>
@@ -66,7 +66,10 @@
   }
 }
 
-/** Candidates that miss the least of prefix and adapter. Empty when all miss the same: an additional sample would only add to herding. */
+/**
+ * Candidates that already have the most of the request's prefix and adapter. Empty when all have the same: adding one of them to
+ * the random sample would only make routers herd.
+ */
 const withBestAffinity = (warm: readonly CandidateCost[]): readonly CandidateCost[] => {
   const leastMs = Math.min(...warm.map(cost => cost.affinityMs))
   const holders = warm.filter(cost => cost.affinityMs === leastMs)
@@ -87,8 +90,8 @@
   (a.candidate.instance < b.candidate.instance ? -1 : 1)
 
 /**
- * Chooses the same cold slot on every router. Distance and a router's own sends differ between routers and would start a replica
- * for each of them. The next slot is chosen only when the queue of the first outgrows it.
+ * Chooses the same cold slot on every router, by readiness first: distance and own sends differ between routers, and choosing by
+ * them would start a replica for each router. The next slot is chosen only when the queue of the first outgrows it.
  */
 const chooseCold = (cold: readonly CandidateCost[]): CandidateCost | undefined => {
   let best: CandidateCost | undefined
@@ -102,8 +105,8 @@
  * Chooses between the cheapest of `sampleCount` random warm servers (ready or loading) and the quickest cold one.
  *
  * Load pattern: many routers decide at the same moment on reports that are a second old; one server may be ten times slower
- * than the others; the model may be cold everywhere. Otherwise all routers send to the server that was idle in the last
- * report, a slow server fills with callers that time out, and a burst for a cold model starts every replica that is
+ * than the others; the model may be cold everywhere. Without this choice all routers send to the server that was idle in the
+ * last report, a slow server fills with callers that time out, and a burst for a cold model starts every replica that is
  * allowed.
  *
  * The warm choice is random, so that routers with the same reports do not herd. The cold choice is not: all routers take the
@@ -123,7 +126,7 @@
   if (!quickest) return { kind: 'none', estimatedWaitMs: request.coldStartMs }
   if (isReadyInTime(request, quickest)) return send(quickest)
   // A model that seems to load too slowly must still be loaded. If its requests were refused here, no agent would receive them.
-  // A cold slot refuses the request just as fast, and starts the load.
+  // The agent of a cold slot refuses the request just as fast, and starts the load.
   if (warm.length === 0 && coldBest) return send(coldBest)
   return { kind: 'none', estimatedWaitMs: readyInMsOf(quickest) }
 }
--- a/packages/decisions/src/routing/constants.ts
+++ b/packages/decisions/src/routing/constants.ts
@@ -15,8 +15,8 @@
   slowFactor: 2.5,
   /**
    * Time constant with which an old token interval loses weight, so that a server that got no work, and therefore reports no new
-   * interval, is tried again. A server that was ten times slower falls below `slowFactor` after ln(9 / 1.5) of it, about 20 s;
-   * one probe per router in that time costs little compared with the work that a recovered server can do.
+   * interval, is tried again. A server that was ten times slower falls below `slowFactor` after ln(9 / 1.5) time constants, about
+   * 20 s; one probe per router in that time costs little compared with the work that a recovered server can do.
    */
   slownessDecayMs: 10_000,
   /** Time constant with which an ageing queue report is replaced by the group's mean: a few report intervals. */
--- a/packages/decisions/src/routing/types.ts
+++ b/packages/decisions/src/routing/types.ts
@@ -1,6 +1,6 @@
 import type { InstanceName, LogOffset } from '@figmount/base'
 
-/** A router's view of one slot for the requested model. */
+/** A router's view of one slot: a place on an instance that holds, or may hold, a replica of the requested model. */
 export interface RoutingCandidate {
   readonly instance: InstanceName
   readonly slotIndex: number
