--- a/packages/sidecar/src/demand/createDemandTotals.ts
+++ b/packages/sidecar/src/demand/createDemandTotals.ts
@@ -6,7 +6,7 @@
 /** Demand that decays below this rate is removed. */
 const MIN_REQUESTS_PER_S = 0.01
 
-/** Time from the first reported demand after which idle models can be identified: a busy one is requested several times a second. */
+/** Time from the first reported demand after which idle models can be told from busy ones, which are requested several times a second. */
 const SETTLING_MS = 4_000
 
 /** Time for which a computed total is cached: planning once for the engine reads each total many times. */
@@ -45,7 +45,7 @@
   /** Removes the demand of a router whose links have closed. */
   readonly dropRouter: (router: string) => void
   readonly totalFor: (modelName: string) => TotalDemand
-  /** Number of engines that hold a model, as routers report it. */
+  /** Number of engines that hold a model, as last reported by a router; 1 for a model without a report. */
   readonly replicaCount: (modelName: string) => number
   /** Demand has been reported for long enough to identify idle models. */
   readonly isSettled: () => boolean
--- a/packages/sidecar/src/engine/constants.ts
+++ b/packages/sidecar/src/engine/constants.ts
@@ -7,7 +7,7 @@
 /** Shortest polling interval, used while an order is carried out; loading an adapter takes 5 ms. */
 export const FAST_POLL_MS = 8
 
-/** Polling interval as a fraction of the time until an expected change, or of the time since it was due. */
+/** Polling interval as a share of the time until an expected change, or of the time that has passed since it was due. */
 export const POLL_INTERVAL_RATIO = 0.25
 
 /** Timeout of a report. It arrives within a few ms as the engine runs on the same machine; a busy machine takes longer. */
--- a/packages/sidecar/src/engine/createLostOrders.ts
+++ b/packages/sidecar/src/engine/createLostOrders.ts
@@ -11,7 +11,7 @@
   readonly isOfEarlierStart: boolean
 }
 
-/** Room for orders that may still be carried out. */
+/** Memory and adapter slots for lost orders that may still be carried out. */
 export interface ReservedRoom {
   readonly modelsMb: ReadonlyMap<string, number>
   /** Keys of the form `model/adapter`. */
@@ -21,7 +21,7 @@
 /** Orders that got no answer. An engine may carry them out seconds later. */
 export interface LostOrders {
   readonly add: (serverId: string, order: Order, isOfEarlierStart: boolean) => void
-  /** The engine has restarted: its order count begins again, and may reach the count that an earlier order expects. */
+  /** To be called after a restart of the engine: its order count begins again, and may reach the count that a lost order expects. */
   readonly noteRestart: () => void
   readonly reserve: (serverId: string, report: ServerReport, spec: EngineSpec) => ReservedRoom
 }
@@ -29,8 +29,8 @@
 /**
  * Guards against an engine that restarts under the same id and then carries out an order lost before the restart: the order
  * names that id, and the order count that it expects may be reached again. Loading its model on top of those that newer orders
- * loaded would exceed the engine's memory and crash it. The engine carries out at most one order at each count, so it is
- * enough that the order which brings the engine to such a count leaves room for those that may follow.
+ * loaded would exceed the engine's memory and crash it. The engine carries out at most one order at each count. So it is enough
+ * to reserve room when the next order would bring the engine to the count that a lost order expects.
  */
 export const createLostOrders = (timers: TimerService): LostOrders => {
   let lost: readonly LostOrder[] = []
--- a/packages/sidecar/src/engine/createModelDrain.ts
+++ b/packages/sidecar/src/engine/createModelDrain.ts
@@ -20,9 +20,9 @@
   readonly drain: (modelName: string) => void
   /** Drains the model if it is not drained yet, and waits until requests that routers sent before the notice have arrived. */
   readonly beginUnload: (modelName: string) => Promise<void>
-  /** The unload was not ordered, or the engine rejected it. */
+  /** To be called when the unload was not ordered, or when the engine rejected it. */
   readonly cancelUnload: () => void
-  /** Ends the unload if the model is not among the held ones any more. */
+  /** Takes the names of the models that the engine holds. The unload has ended when its model is not among them any more. */
   readonly updateHeld: (held: ReadonlySet<string>) => void
   readonly reset: () => void
 }
--- a/packages/sidecar/src/engine/createOrderer.ts
+++ b/packages/sidecar/src/engine/createOrderer.ts
@@ -36,11 +36,11 @@
   readonly wants: WantRegistry
   readonly spec: () => EngineSpec | undefined
   readonly serverId: () => string
-  /** Another start of the server has answered: the id in use belongs to an earlier one. */
+  /** Called when another start of the server has answered an order: the id in use belongs to an earlier start. */
   readonly noteOtherServer: () => void
   /** Least time between the starts of two loads from the weight store by one agent. */
   readonly coldSpacingMs: number
-  /** False after a restart of the agent: the process before may have begun a load from the weight store shortly before. */
+  /** False after a restart of the agent: its previous process may have started a load from the weight store just before. */
   readonly isFirstStart: boolean
   /** Called after a change that routers must be informed of. */
   readonly changed: () => void
@@ -56,7 +56,7 @@
   /** The newest report; undefined while the engine does not answer. */
   readonly report: () => ServerReport | undefined
   readonly reset: () => void
-  /** The engine has restarted: it holds no models, and its order count begins again. */
+  /** To be called after a restart of the engine: it holds no models, and its order count begins again. */
   readonly noteRestart: () => void
   readonly leavingModels: () => readonly string[]
   readonly currentLoad: () => CurrentLoad | undefined
@@ -182,8 +182,8 @@
     runInBackground(events, 'engine.order', sendNextOrder().finally(() => { isOrdering = false }))
   }
 
-  // Changes that take milliseconds are polled often, and less often the longer they take. The same holds around an expected
-  // time, before and after it: a load from a busy weight store may be seconds late.
+  // A change that takes milliseconds is polled often; the longer it takes, the less often it is polled. The same holds around the
+  // time at which a change is expected, before and after it: a load from a busy weight store may be seconds late.
   const pollIntervalFor = (distanceMs: number): number =>
     Math.min(POLL_MS, Math.max(FAST_POLL_MS, distanceMs * POLL_INTERVAL_RATIO))
 
--- a/packages/sidecar/src/engine/viewEngine.ts
+++ b/packages/sidecar/src/engine/viewEngine.ts
@@ -20,7 +20,7 @@
   /** Room that unanswered orders may still take. */
   readonly reserve: ReservedRoom
   readonly nowMs: number
-  /** Time at which each held model was loaded or first seen. */
+  /** Time at which a report first showed each held model; -Infinity for models of the first report, loaded at an unknown time. */
   readonly heldSinceMs: ReadonlyMap<string, number>
 }
 
@@ -44,7 +44,7 @@
 
 /**
  * Whether a model has running requests. Routers report twice a second for which models they have some. The engine's own
- * report is newer but counts requests over all models, so it is used only where it leaves no doubt.
+ * report is newer but counts requests over all models, so it decides only when it counts none or the engine holds one model.
  */
 const isRunning = (report: ServerReport, hasReportedRequests: boolean): boolean => {
   if (report.runningCount === 0 && report.startingCount === 0) return false
@@ -106,7 +106,8 @@
 const viewWant = (inputs: EngineInputs, want: OpenWant): WantView => {
   const model = modelSpecsOf(inputs.spec).get(want.modelName)
   const total = inputs.demand.totalFor(want.modelName)
-  // A router sees at once the queue that its own requests meet; the agent sees the demand of all routers, a few seconds late.
+  // A router sees at once the queue that its own requests meet; the agent sees the demand of all routers, a few seconds late. The
+  // larger of the two estimates is used.
   const lateCount = Math.max(want.lateCount, countLateWithFewerReplicas(total, total.replicaCount + 1, total.replicaCount))
   return {
     modelName: want.modelName,
@@ -114,7 +115,7 @@
     waitingCount: want.waitingCount,
     lateCount,
     ageMs: inputs.nowMs - want.sinceMs,
-    // Room for a model that an unanswered order may still load is reserved already.
+    // Memory for a model that an unanswered order may still load is reserved already, and is not needed twice.
     weightsMb: (model?.weightsMb ?? Infinity) - (inputs.reserve.modelsMb.get(want.modelName) ?? 0),
     adapterMb: model?.adapterMb ?? 0,
     hasLocalCopy: hasLocalCopy(inputs.report, want.modelName),
--- a/packages/sidecar/src/limits/createLimiters.ts
+++ b/packages/sidecar/src/limits/createLimiters.ts
@@ -4,7 +4,10 @@
 import type { RateLimit, TokenBucket } from '@figmount/decisions'
 import type { LimiterChosen, UnitsAnswered, UnitsAsked, UnitsReturned } from '@figmount/fleet'
 
-/** For this long after the first start of the whole system, a joining router adds a full share; later an unknown part of it is used up. */
+/**
+ * Time after the first start of the whole system in which a router that joins a bucket brings its share of the limit as a full
+ * bucket. Later it brings none, because an unknown part of that share may have been used at another limiter.
+ */
 const FULL_START_MS = 4_000
 
 interface Limiter {
@@ -17,7 +20,7 @@
   readonly timers: TimerService
   /** The limit in force; undefined for an organisation without one or one that the agent's configuration does not contain. */
   readonly limitOf: (organisationName: string) => RateLimit | undefined
-  /** The whole system starts for the first time. */
+  /** True when the whole system starts for the first time, false after a restart of this agent. */
   readonly isFirstStart: boolean
 }
 
--- a/packages/sidecar/src/links/createRelayedRecords.ts
+++ b/packages/sidecar/src/links/createRelayedRecords.ts
@@ -12,8 +12,8 @@
 /**
  * Remembers the offset of the newest relayed record of each key.
  *
- * Guards against a fan-out that grows with the number of routers: each router relays what it has read through the same agents,
- * and all copies were sent to all other routers. On a narrow link, callers' requests waited behind those copies.
+ * Guards against a fan-out that grows with the number of routers: all routers relay the records that they have read to the same
+ * agents, and all copies were sent to all other routers. On a narrow link, callers' requests waited behind those copies.
  */
 export const createRelayedRecords = (): RelayedRecords => {
   const offsets = new Map<string, number>()
--- a/packages/sidecar/src/links/serveRouters.ts
+++ b/packages/sidecar/src/links/serveRouters.ts
@@ -98,7 +98,7 @@
     return { state, texts, message: { type: 'stateChange', changes: { ...pickFields(state, changed), ...volatileFieldsOf(state) } } }
   }
 
-  /** Sends newly linked routers the full state on which the changes sent to all routers are based. */
+  /** Sends newly linked routers the full state to which the later changes sent to all routers apply. */
   const sendFullState = (receivers: Iterable<RouterLink>, state: AgentState): void => {
     sendToMany(receivers, state)
     if (sentLoad) sendToMany(receivers, sentLoad.load)
--- a/packages/sidecar/src/sidecar/constants.ts
+++ b/packages/sidecar/src/sidecar/constants.ts
@@ -11,5 +11,5 @@
 /** Timeout of an id query, which waits for a free slot like a request. */
 export const ID_QUERY_TIMEOUT_MS = 1_000
 
-/** Earlier starts that are reported to routers: a list entry expires within four seconds, and a start takes one or more. */
+/** Maximum number of earlier starts reported to routers: a list entry expires within four seconds, and a start takes one or more. */
 export const MAX_GONE_STARTS = 4
--- a/packages/sidecar/src/sidecar/startSidecar.ts
+++ b/packages/sidecar/src/sidecar/startSidecar.ts
@@ -99,7 +99,7 @@
     lastReviewMs = timers.nowMs()
   }
 
-  // While the engine answers, its reports arrive about as often as this timer fires.
+  // While the engine answers, each of its reports causes a review, about as often as this timer fires.
   const reviewIfOverdue = (): void => {
     if (timers.nowMs() - lastReviewMs >= STATE_PERIOD_MS / 2) reviewAndSendState()
   }
@@ -150,12 +150,12 @@
       events.emit(kind, { peer: router, model: want.modelName, adapter: want.adapterName ?? '', reason: outcome.reason, waitMs: Math.round(timers.nowMs() - takenMs) })
       settle(wantId, outcome)
     })
-    // Routers see the want in the next state update, and a load that begins for it at once.
+    // Reviews orders without sending the state: routers see the want in the next state update, and a load for it when it is ordered.
     reviewOrders()
   }
 
-  // Guards against a wrong state: an agent that has just restarted would report its engine as down, and routers would cut the
-  // streams that run there.
+  // Guards against reporting the engine as down before its first answer: an agent that has just restarted would do so, and routers
+  // would cut the streams that run there.
   const describeIfKnown = (routerCount: number): AgentState | undefined => hasEngineResult
     ? describeEngine({ timers, spec: service()?.engine, isUp, identity, orderer, demand, wants, deploymentOffset: deployments.offset(), routerCount })
     : undefined
--- a/packages/sidecar/src/wants/createWantRegistry.ts
+++ b/packages/sidecar/src/wants/createWantRegistry.ts
@@ -20,7 +20,7 @@
 export interface OpenWant {
   readonly modelName: string
   readonly adapterName: string
-  /** Time since which it has been wanted without being available. */
+  /** Time since which it has been wanted without becoming available. */
   readonly sinceMs: number
   readonly waitingCount: number
   readonly lateCount: number
@@ -34,7 +34,7 @@
   /** Removes all wants of a disconnected router: its callers have lost their connections. */
   readonly dropRouter: (router: string) => void
   readonly open: () => readonly OpenWant[]
-  /** Settles the wants that `isHeld` reports as met and those that have expired. */
+  /** Settles the wants for which `isHeld` returns true as met, and those that have expired as not met. */
   readonly review: (isHeld: (modelName: string, adapterName: string) => boolean) => void
   /** Settles all wants as lost, for instance because the engine is draining. */
   readonly failAll: (reason: string) => void
@@ -86,7 +86,7 @@
       entries.set(key, { ...entry, sinceMs: Math.min(entry.sinceMs, sinceMs), waiters: [...entry.waiters, waiter] })
     },
     // Guards against a load that no request waits for, because its caller has left or another engine has served it. The load
-    // would take the engine's time, and the room of a model that is wanted.
+    // would take the engine's time, and memory that a wanted model needs.
     drop: (router, wantId) => { filterWaiters(waiter => waiter.router !== router || waiter.wantId !== wantId) },
     dropRouter: router => { filterWaiters(waiter => waiter.router !== router) },
     open: () => [...entries.values()].map(entry => {
