--- a/packages/fleet/src/feeds/constants.ts
+++ b/packages/fleet/src/feeds/constants.ts
@@ -7,7 +7,7 @@
 /** First delay after a failed read; it doubles up to `MAX_RETRY_MS`. */
 export const INITIAL_RETRY_MS = 200
 
-/** Longest delay after a failed read. The end of an outage must be noticed within one second, and half of that is left for the read. */
+/** Longest delay after a failed read. The end of an outage is noticed within about a second, on average after half of that. */
 export const MAX_RETRY_MS = 1_000
 
 /** Servers whose list entries expired during an outage are listed again within about 2 s; one missing for longer is gone. */
--- a/packages/fleet/src/feeds/createFeedFollower.ts
+++ b/packages/fleet/src/feeds/createFeedFollower.ts
@@ -13,7 +13,7 @@
   readonly events: EventLog
   /** Time that a read waits at the store for new records; 0 polls. */
   readonly waitMs: number
-  /** Time until the next read is due. Evaluated again when it has passed, because a peer's read may postpone the own one. */
+  /** Time until the next read is due. Evaluated again after that time, because a peer's read may postpone the follower's own one. */
   readonly dueInMs: () => number
   /** Called with records in order of their offsets, never with an older one after a newer one of the same key. */
   readonly take: (records: readonly FeedRecord[]) => void
@@ -25,11 +25,11 @@
   readonly regained: (outageMs: number) => void
 }
 
-/** Follows one feed of the store, by own reads and by records that peers have read. */
+/** Follows one feed of the store, by its own reads and by records that peers have read. */
 export interface FeedFollower {
   /** Applies records that a peer has read. */
   readonly offer: (records: readonly FeedRecord[]) => void
-  /** Applies a range that a peer has read. Returns true when own reads continue after it because no record in between is missing. */
+  /** Applies a range that a peer has read. Returns true when the range leaves no gap, so that the follower's own reads continue after it. */
   readonly offerRange: (stretch: FeedRange) => boolean
   /** Abandons the read that is waiting and reads again at once. */
   readonly readNow: () => void
--- a/packages/fleet/src/feeds/types.ts
+++ b/packages/fleet/src/feeds/types.ts
@@ -28,7 +28,7 @@
   readonly records: readonly FeedRecord[]
 }
 
-/** One read by the follower itself, as opposed to one by a peer. */
+/** One read of the store by the follower itself, not by a peer. */
 export interface FeedRead {
   readonly stretch: FeedRange
   /** The newest record of every key was read, instead of all records of the range. */
--- a/packages/fleet/src/messages/types.ts
+++ b/packages/fleet/src/messages/types.ts
@@ -7,7 +7,7 @@
   readonly type: 'heartbeat'
 }
 
-/** A router asks an agent to have a model, or an adapter of it, loaded. */
+/** A router's request to an agent to load a model, or an adapter of it. It stays open until it is settled, withdrawn or expired. */
 export interface Want {
   readonly type: 'want'
   readonly wantId: number
@@ -16,9 +16,9 @@
   readonly adapterName?: string
   /** Requests that wait for it; 0 when it is wanted ahead of any request. */
   readonly waitingCount: number
-  /** Further requests of the next seconds that would be late without it, as the router estimates. */
+  /** Further requests of the next seconds that would be late without it, as estimated by the router. */
   readonly lateCount: number
-  /** Time for which successive callers of the router have waited for it without success; undefined for the first want. */
+  /** Time for which earlier callers of the router, one after the other, have waited for it without success; undefined for the first want. */
   readonly unmetForMs?: number
   /** The agent gives up the want after this time. */
   readonly timeLeftMs: number
@@ -74,14 +74,12 @@
   readonly records: readonly FeedRecord[]
 }
 
-/**
- * A router's read of the server list. A router that has read up to its first offset need not read the range itself.
- */
+/** A router's read of the server list. A router that has read up to the start of the range need not read the range itself. */
 export interface ListRead extends FeedRange {
   readonly type: 'listRead'
   /** Time since the read began. Records written later are missing. */
   readonly ageMs: number
-  /** Time for which a missing server may only have expired because the store was unavailable; 0 when it was available. */
+  /** Time during which a missing server may merely have expired because the store was unavailable; 0 when the store was available. */
   readonly settlingMs: number
 }
 
@@ -165,7 +163,7 @@
   readonly onDisk: readonly string[]
   /** Number of requests that would be late because of the cheapest eviction. */
   readonly evictionLoss: number
-  /** Demand of all routers for each held model, in prompt tokens per second. */
+  /** Demand of all routers for each of `models`, in the same order, in prompt tokens per second. */
   readonly demandTokensPerS: readonly number[]
   /** Number of routers that are linked to the agent. */
   readonly routerCount: number
--- a/packages/peers/src/links/createInbox.ts
+++ b/packages/peers/src/links/createInbox.ts
@@ -1,4 +1,4 @@
-/** A queue that callbacks push values into and one asynchronous reader reads in order. */
+/** A queue that callbacks push values into and that one asynchronous reader reads in order. */
 export interface MessageQueue<T> {
   readonly push: (value: T) => void
   readonly end: () => void
--- a/packages/peers/src/links/openLink.ts
+++ b/packages/peers/src/links/openLink.ts
@@ -17,8 +17,8 @@
       maxPayload: MAX_MESSAGE_BYTES,
       perMessageDeflate: false
     })
-    // Guards against losing a first message that arrives together with the handshake response: it is emitted before a promise
-    // could settle, so the link must listen already. A lost one shows as a peer that never sends its state.
+    // Guards against losing a first message that arrives together with the handshake response: the socket emits it before a
+    // promise could settle, so the link has to listen already. A loss shows as a peer that never sends its state.
     socket.once('open', () => resolve(wrapSocket<Send, Receive>(socket, address, context)))
     socket.once('error', reject)
   })
--- a/packages/peers/src/links/types.ts
+++ b/packages/peers/src/links/types.ts
@@ -4,7 +4,7 @@
 /** An encoded message, for sending it on many links. */
 export interface PackedMessage<Body> {
   readonly bytes: Uint8Array
-  /** The message itself; its type keeps it from links that carry other messages. */
+  /** The message itself; its type prevents sending it on links that carry other messages. */
   readonly body: Body
 }
 
--- a/packages/peers/src/messages/types.ts
+++ b/packages/peers/src/messages/types.ts
@@ -65,7 +65,10 @@
   readonly peer: string
 }
 
-/** Permission of the holder of the `keys` right to start one attempt, bound to one run of its executor. */
+/**
+ * Permission to start one attempt, bound to one run of its executor. It is granted by the holder of the `keys` right, the instance
+ * that records which request keys are running or have run.
+ */
 export interface Permit {
   readonly caller: CallerName
   readonly requestKey: RequestKey
@@ -93,7 +96,7 @@
   | { readonly type: 'permit.withdraw', readonly target: ModelId, readonly caller: CallerName, readonly requestKey: RequestKey, readonly attemptId: AttemptId }
   | { readonly type: 'records', readonly records: readonly RawRecord[] }
   | { readonly type: 'records.ask', readonly fromOffset: LogOffset }
-  /** Reports requests suspected of crashing engines without waiting for the log, which contains the suspicion too. */
+  /** Reports requests suspected of crashing engines before the log delivers the same suspicion. */
   | { readonly type: 'suspect', readonly fingerprints: readonly string[], readonly deathId: string, readonly instance: InstanceName }
 
 /** Messages from an agent to a router. */
--- a/packages/peers/src/reports/createDeltaReporter.ts
+++ b/packages/peers/src/reports/createDeltaReporter.ts
@@ -1,7 +1,10 @@
 import type { ModelId } from '@figmount/base'
 import type { AgentReport, ModelReport } from '../messages/types.js'
 
-/** Changes below these bounds are not reported: they would not change the choice of a backend server. */
+/**
+ * Changes within these bounds are not reported, because they would not change the choice of a backend server. The larger of the
+ * absolute and the relative bound applies.
+ */
 const QUEUED_SECONDS_BOUND = 0.05
 const RELATIVE_BOUND = 0.1
 const READY_MS_BOUND = 250
