--- a/packages/decisions/src/limits/limits.test.ts
+++ b/packages/decisions/src/limits/limits.test.ts
@@ -17,12 +17,12 @@
 
 /** Maximum units that passed within any window of this length. */
 const maxUnitsWithin = (passed: readonly Passed[], windowMs: number): number => {
-  let most = 0
+  let maxUnits = 0
   for (const { atMs } of passed) {
     const within = passed.filter(other => other.atMs >= atMs && other.atMs <= atMs + windowMs)
-    most = Math.max(most, within.reduce((sum, { units }) => sum + units, 0))
+    maxUnits = Math.max(maxUnits, within.reduce((sum, { units }) => sum + units, 0))
   }
-  return most
+  return maxUnits
 }
 
 describe('an organisation\'s limit', () => {
@@ -60,17 +60,17 @@
     const shareServed = (needed: NeededUnits, units: number): number => {
       const random = makeRandom(3)
       let bucket = fullBucket(LIMIT, 0)
-      let asked = 0
+      let requestCount = 0
       let served = 0
       for (let atMs = 0; atMs < 60_000; atMs += 20) {
         const size = random() < 0.3 ? 300 : 20
         const taking = takeUnits(bucket, LIMIT, { units: size, maxWaitMs: 0 }, needed, atMs)
         bucket = taking.bucket
         if (size !== units) continue
-        asked += 1
+        requestCount += 1
         served += Number(taking.isTaken)
       }
-      return served / asked
+      return served / requestCount
     }
     expect(shareServed(needAll, 20) - shareServed(needAll, 300)).to.be.above(0.3)
     expect(shareServed(needNoDebt, 20)).to.be.closeTo(shareServed(needNoDebt, 300), 0.05)
--- a/packages/decisions/src/routing/chooseLeastCost.test.ts
+++ b/packages/decisions/src/routing/chooseLeastCost.test.ts
@@ -70,10 +70,10 @@
 
   it('follows a cached prefix only while it saves more than the queue costs', () => {
     const others = ['a', 'b', 'c'].map(name => candidate(name))
-    const asked = { ...request, prefixSavingMs: 800 }
-    expect(new Set(chosenNames([...others, candidate('holder', { hasPrefix: true, queuedSeconds: 0.5 })], 50, asked)))
+    const requestWithPrefix = { ...request, prefixSavingMs: 800 }
+    expect(new Set(chosenNames([...others, candidate('holder', { hasPrefix: true, queuedSeconds: 0.5 })], 50, requestWithPrefix)))
       .to.deep.equal(new Set(['holder']))
-    expect(chosenNames([...others, candidate('holder', { hasPrefix: true, queuedSeconds: 2 })], 50, asked))
+    expect(chosenNames([...others, candidate('holder', { hasPrefix: true, queuedSeconds: 2 })], 50, requestWithPrefix))
       .not.to.include('holder')
   })
 
@@ -81,9 +81,9 @@
     const fast = ['a', 'b', 'c'].map(name => candidate(name, { queuedSeconds: 2 }))
     const slow = candidate('slow', { tokenIntervalMs: 300 })
     expect(chosenNames([...fast, slow])).not.to.include('slow')
-    const faded = { ...slow, tokenIntervalAgeMs: 40_000 }
-    expect(chosenNames([...fast, faded])).to.include('slow')
-    expect(chosenNames([...fast, { ...faded, unreportedSeconds: 0.1 }])).not.to.include('slow')
+    const slowWithOldMeasurement = { ...slow, tokenIntervalAgeMs: 40_000 }
+    expect(chosenNames([...fast, slowWithOldMeasurement])).to.include('slow')
+    expect(chosenNames([...fast, { ...slowWithOldMeasurement, unreportedSeconds: 0.1 }])).not.to.include('slow')
   })
 
   // A model that is loaded nowhere is expected to load more slowly than its callers can wait. If routers refused its requests,
--- a/packages/decisions/src/simulation/patterns.test.ts
+++ b/packages/decisions/src/simulation/patterns.test.ts
@@ -77,7 +77,7 @@
     expect(ours.all.servedCount).to.equal(ours.all.requestCount)
   })
 
-  it('urgent and slow reviews of one model', () => {
+  it('urgent and low-priority requests for one model', () => {
     // Low-priority requests fill the server at one and a half times capacity. Unless admission and queue take priorities into
     // account, an urgent request with a deadline of ten seconds is refused for minutes.
     const { baseline, ours } = compare(patterns.urgentReview())
@@ -130,8 +130,8 @@
   })
 
   it('requests for many cold models at once', () => {
-    // Twenty cold models are requested within two seconds, one of them by forty callers and the others by a few. In order of
-    // arrival, the forty may have to wait for the last load.
+    // Twenty cold models are requested within two seconds, one of them by forty callers and the others by a few. The baseline
+    // loads in order of arrival, so the forty callers may wait for the last load.
     const { baseline, ours } = compare(patterns.wakeUp())
     expect(baseline.all.p50FirstTokenMs).to.be.at.least(59_000)
     expect(ours.all.p50FirstTokenMs).to.be.at.most(44_907)
--- a/packages/sidecar/src/engine/createOrderer.test.ts
+++ b/packages/sidecar/src/engine/createOrderer.test.ts
@@ -35,7 +35,7 @@
   ...given
 })
 
-interface Bench {
+interface TestSetup {
   readonly timers: VirtualTimers
   readonly orderer: Orderer
   readonly sent: Array<Order & { readonly serverId: string }>
@@ -55,11 +55,11 @@
 const accepted: Either<Fault, OrderAnswer> = Right(OrderAnswer.Accepted)
 const lost: Either<Fault, OrderAnswer> = Left(makeFault('timeout', 'order', 'engine', 'no answer'))
 
-const setUp = (answers: Array<Either<Fault, OrderAnswer>>, isFirstStart = true): Bench => {
+const setUp = (answers: Array<Either<Fault, OrderAnswer>>, isFirstStart = true): TestSetup => {
   const timers = createVirtualTimers()
   const wants = createWantRegistry(timers)
   const demand = createDemandTotals(timers)
-  const sent: Bench['sent'] = []
+  const sent: TestSetup['sent'] = []
   let otherServerCount = 0
   const orderer = createOrderer({
     engine: {
--- a/packages/sidecar/src/limits/createLimiters.test.ts
+++ b/packages/sidecar/src/limits/createLimiters.test.ts
@@ -23,7 +23,7 @@
 /** Number of requests, out of ten at the same time, that get their units. */
 const countTaken = (limiters: Limiters, router: string, units: number): number => {
   let takenCount = 0
-  for (let asked = 0; asked < 10; asked++) takenCount += Number(ask(limiters, router, units).outcome === 'taken')
+  for (let index = 0; index < 10; index++) takenCount += Number(ask(limiters, router, units).outcome === 'taken')
   return takenCount
 }
 
@@ -37,7 +37,7 @@
     }
   })
 
-  it('gives a bucket the share of the limit that its routers are of all routers', () => {
+  it('gives a bucket the share of the limit that its routers make up among all routers', () => {
     // Guards against two limiters of one organisation that each admit its full limit.
     const { timers, limiters } = setUp()
     choose(limiters, 'r1', 4)
