--- a/packages/peers/src/links/createInbox.ts
+++ b/packages/peers/src/links/createInbox.ts
@@ -5,7 +5,7 @@
   readonly values: AsyncIterable<T>
 }
 
-/** Creates an inbox for one reader. */
+/** Creates a queue for one reader. */
 export const createInbox = <T>(): MessageQueue<T> => {
   let pending: T[] = []
   let isEnded = false
