--- a/packages/peers/src/links/createInbox.ts
+++ b/packages/peers/src/links/createInbox.ts
@@ -1,11 +1,11 @@
-/** A queue that callbacks push values into and one asynchronous reader reads in order. */
+/** A queue that callbacks push values into and that one asynchronous reader reads in order. */
 export interface MessageQueue<T> {
   readonly push: (value: T) => void
   readonly end: () => void
   readonly values: AsyncIterable<T>
 }
 
-/** Creates an inbox for one reader. */
+/** Creates a queue for one reader. */
 export const createInbox = <T>(): MessageQueue<T> => {
   let pending: T[] = []
   let isEnded = false
