--- a/packages/agent/src/testing/startAgentForTest.ts
+++ b/packages/agent/src/testing/startAgentForTest.ts
@@ -1,7 +1,7 @@
 /** Runs an agent in virtual time with a fake log, a fake engine and fake routers. */
 import { createEventLog, createMetrics, createVirtualTimers } from '@figmount/base'
 import { accountNothing, admitUntilFull, allAhead, evictLeastRecent, keepFixedTime, limitNothing, orderByArrival, pickFirstCome, retryAfterFixed, shedNothing } from '@figmount/decisions'
-import { createInbox } from '@figmount/peers'
+import { createMessageQueue } from '@figmount/peers'
 import { EitherAsync, Right } from 'purify-ts'
 
 import { createAgent } from '../agent/createAgent.js'
@@ -67,7 +67,7 @@
 })
 
 const connectTo = (agent: Agent, timers: VirtualTimers, peer: string): FakeRouter => {
-  const inbox = createInbox<RouterToAgentMessage>()
+  const inbox = createMessageQueue<RouterToAgentMessage>()
   const received: AgentToRouterMessage[] = []
   let isOpen = true
   const cut = (): void => {
--- a/packages/decisions/src/simulation/patterns.test.ts
+++ b/packages/decisions/src/simulation/patterns.test.ts
@@ -132,7 +132,7 @@
   it('requests for many cold models at once', () => {
     // Twenty cold models are requested within two seconds, one of them by forty callers and the others by a few. The baseline
     // loads in order of arrival, so the forty callers may wait for the last load.
-    const { baseline, ours } = compare(patterns.wakeUp())
+    const { baseline, ours } = compare(patterns.manyColdModels())
     expect(baseline.all.p50FirstTokenMs).to.be.at.least(59_000)
     expect(ours.all.p50FirstTokenMs).to.be.at.most(44_907)
   })
--- a/packages/decisions/src/simulation/patterns.ts
+++ b/packages/decisions/src/simulation/patterns.ts
@@ -184,7 +184,7 @@
 })
 
 /** Twenty cold models are requested at once, one of them by forty callers and the others by one each. */
-export const wakeUp = (): Scenario => {
+export const manyColdModels = (): Scenario => {
   const names = Array.from({ length: 20 }, (_, index) => `readers/model-${index}`)
   const popular = names[13]!
   return {
@@ -200,5 +200,5 @@
 /** All load patterns of the decision table. */
 export const allPatterns = (): readonly Scenario[] => [
   burst(), hotCaller(), hotPrefix(), slowServer(), manyRouters(), longAmongShort(), urgentReview(),
-  overload(1.5), overload(3), overload(10), outage(), coldBurst(), wakeUp()
+  overload(1.5), overload(3), overload(10), outage(), coldBurst(), manyColdModels()
 ]
--- a/packages/peers/src/links/createInbox.ts
+++ b/packages/peers/src/links/createMessageQueue.ts
@@ -6,7 +6,7 @@
 }
 
 /** Creates a queue for one reader. */
-export const createInbox = <T>(): MessageQueue<T> => {
+export const createMessageQueue = <T>(): MessageQueue<T> => {
   let pending: T[] = []
   let isEnded = false
   let resumeReader: (() => void) | undefined
--- a/packages/peers/src/links/wrapSocket.ts
+++ b/packages/peers/src/links/wrapSocket.ts
@@ -2,7 +2,7 @@
 
 import { HEARTBEAT_MS, MAX_BUFFERED_BYTES, SILENCE_TIMEOUT_MS } from './constants.js'
 import { createMessageCodec } from './createMessageCodec.js'
-import { createInbox } from './createInbox.js'
+import { createMessageQueue } from './createMessageQueue.js'
 import { PeerEvent } from './events.js'
 
 import type { RawData, WebSocket } from 'ws'
@@ -42,7 +42,7 @@
 
 /** Creates a link on an open socket and closes it when the peer goes silent. */
 export const wrapSocket = <Send, Receive>(socket: WebSocket, peer: string, context: LinkContext): Link<Send, Receive> => {
-  const inbox = createInbox<Receive>()
+  const inbox = createMessageQueue<Receive>()
   const codec = context.codec ?? defaultCodec
   let isOpen = true
   let lastHeardMs = context.timers.nowMs()
--- a/packages/router/src/testing/createFakeAgent.ts
+++ b/packages/router/src/testing/createFakeAgent.ts
@@ -1,6 +1,6 @@
 import { EitherAsync, Left, Right } from 'purify-ts'
 import { FaultKind, makeFault } from '@figmount/base'
-import { createInbox } from '@figmount/peers'
+import { createMessageQueue } from '@figmount/peers'
 
 import type { DataCentre, Incarnation, InstanceName, LogOffset, TimerService } from '@figmount/base'
 import type { AgentReport, AgentToRouterMessage, Link, ModelReport, RouterToAgentMessage } from '@figmount/peers'
@@ -54,7 +54,7 @@
   }
 
   const openLink = (onOffset: (offset: LogOffset) => void): Link<RouterToAgentMessage, AgentToRouterMessage> => {
-    const inbox = createInbox<AgentToRouterMessage>()
+    const inbox = createMessageQueue<AgentToRouterMessage>()
     let isOpen = true
     const send = (message: AgentToRouterMessage): void => { if (isOpen) inbox.push(message) }
     const end = (): void => {
--- a/scripts/decisions/patternTable.ts
+++ b/scripts/decisions/patternTable.ts
@@ -81,7 +81,7 @@
   { scenario: patterns.overload(10), policies: basePolicies, observed: 'urgent' },
   { scenario: patterns.outage(), policies: [...basePolicies, untilFull, noShedding, fixedRetry] },
   { scenario: patterns.coldBurst(), policies: [...basePolicies, firstReady], observed: 'cold' },
-  { scenario: patterns.wakeUp(), policies: [...basePolicies, arrivalLoads] }
+  { scenario: patterns.manyColdModels(), policies: [...basePolicies, arrivalLoads] }
 ]
 
 const seconds = (ms: number): string => (ms / 1_000).toFixed(1)
