--- a/packages/proof/src/path/operatorTool.test.ts
+++ b/packages/proof/src/path/operatorTool.test.ts
@@ -31,7 +31,7 @@
 let site: Site
 
 /** Runs the tool; returns its output and exit code. */
-const ctl = async (...args: readonly string[]): Promise<{ readonly out: string, readonly code: number }> => {
+const runCtl = async (...args: readonly string[]): Promise<{ readonly out: string, readonly code: number }> => {
   const settings = join(site.rig.folder, 'ctl.ini')
   writeFileSync(settings, `[routers]\naddresses = ${site.routerAddresses().join(', ')}\n[operator]\nkey = ${OPERATOR_KEY}\n`)
   try {
@@ -46,7 +46,7 @@
 const apply = async (text: string): Promise<{ readonly out: string, readonly code: number }> => {
   const file = join(site.rig.folder, 'site.ini')
   writeFileSync(file, text)
-  return await ctl('apply', file, '--yes', '--wait-ms', '20000')
+  return await runCtl('apply', file, '--yes', '--wait-ms', '20000')
 }
 
 describe('figmountctl', () => {
@@ -64,24 +64,24 @@
 
   it('shows versions and rolls one back', async () => {
     expect((await apply(CONFIGURATION.replace('memory_mb = 1000', 'memory_mb = 2000'))).code).to.equal(0)
-    expect((await ctl('rollback', 'service/readers', '1', '--wait-ms', '20000')).code).to.equal(0)
-    const history = JSON.parse((await ctl('history', 'service/readers', '--json')).out) as ReadonlyArray<{ version: number }>
+    expect((await runCtl('rollback', 'service/readers', '1', '--wait-ms', '20000')).code).to.equal(0)
+    const history = JSON.parse((await runCtl('history', 'service/readers', '--json')).out) as ReadonlyArray<{ version: number }>
     expect(history.map(item => item.version)).to.include.members([1, 2, 3])
-    expect((await ctl('get', 'service/readers')).out).to.contain('"memoryMb": 1000')
+    expect((await runCtl('get', 'service/readers')).out).to.contain('"memoryMb": 1000')
   })
 
   it('shows status and explains a refusal', async () => {
-    await site.rig.waitUntil('the slot to be granted', async () => (await ctl('status')).out.includes('granted'))
-    const { out } = await ctl('status')
+    await site.rig.waitUntil('the slot to be granted', async () => (await runCtl('status')).out.includes('granted'))
+    const { out } = await runCtl('status')
     expect(out).to.contain('a1').and.to.contain('readers/cracks').and.to.contain('log: reachable')
     expect((await sendToSite(site, { service: 'readers', model: 'cracks', prompt: 'wall', requestKey: 'seen' })).last.kind).to.equal('answered')
-    expect((await ctl('explain', 'seen')).out).to.contain('requestAnswered')
+    expect((await runCtl('explain', 'seen')).out).to.contain('requestAnswered')
   })
 
   it('drains an instance and takes it back', async () => {
-    expect((await ctl('drain', 'a1')).code).to.equal(0)
-    expect((await ctl('drain', 'a1', '--undo')).code).to.equal(0)
-    expect((await ctl('drain', 'nobody')).code).to.equal(1)
+    expect((await runCtl('drain', 'a1')).code).to.equal(0)
+    expect((await runCtl('drain', 'a1', '--undo')).code).to.equal(0)
+    expect((await runCtl('drain', 'nobody')).code).to.equal(1)
   })
 
   it('rejects a file with mistakes before contacting a router', async () => {
--- a/packages/proof/src/path/wholePath.test.ts
+++ b/packages/proof/src/path/wholePath.test.ts
@@ -50,7 +50,7 @@
   it('refuses an unknown model and a wrong key', async () => {
     const unknown = await callOnce(site.router('r1').address, { service: SERVICE, model: 'nothing', prompt: 'x', requestKey: 'u-1' })
     expect(unknown.refusal?.runState).to.equal(1)
-    const stranger = await callOnce(site.router('r1').address, { service: SERVICE, model: MODEL, prompt: 'x', requestKey: 'u-2', caller: 'stranger' })
-    expect(stranger.kind).to.not.equal('answered')
+    const unknownCaller = await callOnce(site.router('r1').address, { service: SERVICE, model: MODEL, prompt: 'x', requestKey: 'u-2', caller: 'stranger' })
+    expect(unknownCaller.kind).to.not.equal('answered')
   })
 })
--- a/packages/proof/src/promises/answers.test.ts
+++ b/packages/proof/src/promises/answers.test.ts
@@ -9,7 +9,7 @@
 const slowAgents = (...proxied: ReadonlyArray<'engine' | 'peer'>): readonly AgentPlan[] =>
   ['a1', 'a2'].map(name => ({ name, services: [SERVICE], backendKeys: { ...SLOW_TOKENS, batch_size: 16 }, proxied }))
 
-const LONG = { maxTokens: 100 } as const
+const LONG_ANSWER = { maxTokens: 100 } as const
 
 describe('a caller gets the whole answer to its own request', () => {
   let site: Site
@@ -28,10 +28,10 @@
   it('when the connection to the engine is cut', async () => {
     site = await startSmallSite('answers-cut-engine', { agents: slowAgents('engine') })
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'cut', ...LONG })
+    const pending = sendToSite(site, { prompt: 'cut', ...LONG_ANSWER })
     const holder = await waitForRun(site, 'cut')
     await site.proxy(`${holder}-engine`).command({ action: 'cut' })
-    const outcome = await asked
+    const outcome = await pending
     expectAnswered([outcome])
     expect(outcome.sends).to.have.length(1)
   })
@@ -40,10 +40,10 @@
   it('when the connection to the engine goes silent', async () => {
     site = await startSmallSite('answers-silent-engine', { agents: slowAgents('engine') })
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'silent', ...LONG })
+    const pending = sendToSite(site, { prompt: 'silent', ...LONG_ANSWER })
     const holder = await waitForRun(site, 'silent')
     await site.proxy(`${holder}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    const outcome = await asked
+    const outcome = await pending
     expectAnswered([outcome])
     expect(outcome.sends).to.have.length(1)
   })
@@ -52,10 +52,10 @@
   it('when the link to the agent is cut', async () => {
     site = await startSmallSite('answers-cut-link', { agents: slowAgents('peer') })
     await warmUp(site)
-    const asked = sendMany(site, 5, 'link', LONG)
+    const pending = sendMany(site, 5, 'link', LONG_ANSWER)
     const holders = await Promise.all([0, 1, 2, 3, 4].map(async index => await waitForRun(site, `link ${index}`)))
     await site.proxy(`${holders[0]}-peer`).command({ action: 'cut' })
-    const outcomes = await asked
+    const outcomes = await pending
     expectAnswered(outcomes)
     expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
   })
@@ -65,10 +65,10 @@
   it('when the link is cut under requests in flight', async () => {
     site = await startSmallSite('answers-cut-early', { agents: slowAgents('peer') })
     await warmUp(site)
-    const asked = sendMany(site, 5, 'link', LONG)
+    const pending = sendMany(site, 5, 'link', LONG_ANSWER)
     const holder = await waitForRun(site, 'link 0')
     await site.proxy(`${holder}-peer`).command({ action: 'cut' })
-    const outcomes = await asked
+    const outcomes = await pending
     expectAnswered(outcomes)
     expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
   })
@@ -81,20 +81,20 @@
       items: [modelService(SERVICE, [{ name: MODEL, maxReplicas: 2 }])]
     })
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'lost', ...LONG })
+    const pending = sendToSite(site, { prompt: 'lost', ...LONG_ANSWER })
     const holder = await waitForRun(site, 'lost')
     await Promise.all([site.agent(holder).kill(), site.backend(holder).kill()])
-    expectAnswered([await asked])
+    expectAnswered([await pending])
   })
 
   // Only the engine dies in the middle of a stream, and restarts.
   it('when the engine is killed in the middle of a stream', async () => {
     site = await startSmallSite('answers-kill-engine', { agents: slowAgents() })
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'engine', ...LONG })
+    const pending = sendToSite(site, { prompt: 'engine', ...LONG_ANSWER })
     const engine = site.backend(await waitForRun(site, 'engine'))
     await engine.kill()
     await engine.restart()
-    expectAnswered([await asked])
+    expectAnswered([await pending])
   })
 })
--- a/packages/proof/src/promises/configuration.test.ts
+++ b/packages/proof/src/promises/configuration.test.ts
@@ -25,12 +25,12 @@
     return outcomes[0]
   }
 
-  const itemAt = async (router: string): Promise<ConfigItem | undefined> =>
+  const getItemAt = async (router: string): Promise<ConfigItem | undefined> =>
     (await operatorAt(site.router(router).address, OPERATOR_KEY).get({ name: ITEM })).items[0]
 
   /** The guarantee says "within seconds"; the limit is generous, since the machine is shared. */
-  const inForce = async (router: string, version: bigint): Promise<void> =>
-    await site.rig.waitUntil(`version ${version} at ${router}`, async () => (await itemAt(router))?.version === version, 10_000)
+  const waitForVersion = async (router: string, version: bigint): Promise<void> =>
+    await site.rig.waitUntil(`version ${version} at ${router}`, async () => (await getItemAt(router))?.version === version, 10_000)
 
   // Two operators change the same item at two routers at once. One succeeds, the other receives the winning version.
   it('when operators race', async () => {
@@ -40,9 +40,9 @@
     const winner = outcomes.find(outcome => outcome?.accepted)
     const loser = outcomes.find(outcome => !outcome?.accepted)
     expect(loser?.current?.bodyJson).to.equal(winner?.current?.bodyJson)
-    await inForce('r1', 2n)
-    await inForce('r2', 2n)
-    expect((await itemAt('r1'))?.bodyJson).to.equal((await itemAt('r2'))?.bodyJson)
+    await waitForVersion('r1', 2n)
+    await waitForVersion('r2', 2n)
+    expect((await getItemAt('r1'))?.bodyJson).to.equal((await getItemAt('r2'))?.bodyJson)
   })
 
   const NEW_MODELS = ['m1', 'm2', 'm3', 'm4'] as const
@@ -59,7 +59,7 @@
     await site.proxy('r2-log').command({ action: 'refuse', on: true })
     await site.proxy('r2-log').command({ action: 'cut' })
     await expectNewModels()
-    await inForce('r2', 2n)
+    await waitForVersion('r2', 2n)
   })
 
   // New models are configured while one router is dead and still on the platform's instance list.
@@ -78,7 +78,7 @@
     const first = await applyAt('r1', withModels('lost'), 1n, changeId).catch(() => undefined)
     const again = first ?? await applyAt('r2', withModels('lost'), 1n, changeId)
     expect(again?.accepted).to.equal(true)
-    await inForce('r2', 2n)
+    await waitForVersion('r2', 2n)
     expect((await operatorAt(site.router('r1').address, OPERATOR_KEY).history({ name: ITEM })).items).to.have.length(2)
   })
 
@@ -87,12 +87,12 @@
   it('when a router restarts while the log is down', async () => {
     site = await startSmallSite('config-restart')
     expect((await applyAt('r1', withModels('newer'), 1n))?.accepted).to.equal(true)
-    await inForce('r2', 2n)
+    await waitForVersion('r2', 2n)
     await site.log.command({ action: 'outage', on: true })
     await site.router('r2').kill()
     await site.router('r2').restart()
-    await site.rig.waitUntil('r2 to have the item', async () => await itemAt('r2').then(item => item !== undefined, () => false))
-    expect((await itemAt('r2'))?.version).to.equal(2n)
+    await site.rig.waitUntil('r2 to have the item', async () => await getItemAt('r2').then(item => item !== undefined, () => false))
+    expect((await getItemAt('r2'))?.version).to.equal(2n)
   })
 
   // An operator applies a change while the log is down. It must not be reported as accepted unless it later takes effect.
@@ -104,6 +104,6 @@
     await site.log.command({ action: 'outage', on: false })
     const changeId = randomUUID()
     await site.rig.waitUntil('the change to be accepted', async () => await applyAt('r1', withModels('down'), 1n, changeId).then(done => done?.accepted === true || done?.current?.version === 2n, () => false))
-    await inForce('r2', 2n)
+    await waitForVersion('r2', 2n)
   })
 })
--- a/packages/proof/src/promises/memory.test.ts
+++ b/packages/proof/src/promises/memory.test.ts
@@ -14,7 +14,7 @@
 
 const items = [modelService(SERVICE, MODELS.map(name => ({ name })))]
 
-const askAll = async (site: Site, count: number): Promise<readonly RequestOutcome[]> =>
+const requestAllModels = async (site: Site, count: number): Promise<readonly RequestOutcome[]> =>
   (await Promise.all(MODELS.map(async model => await sendMany(site, count, `wall ${model}`, { model, deadlineMs: 30_000 })))).flat()
 
 describe('memory is never overcommitted', () => {
@@ -33,7 +33,7 @@
   // load began before the engine confirmed an unload.
   it('when more models are requested than fit', async () => {
     await start('memory-burst')
-    expectAnswered(await askAll(site, 4))
+    expectAnswered(await requestAllModels(site, 4))
     expectWithinBounds(site)
     expect(site.rig.events.all().some(event => event.number === StandinEvent.modelUnloaded.number)).to.equal(true)
   })
@@ -42,11 +42,11 @@
   // engine must be counted before anything else is loaded.
   it('when the agent is killed in the middle of a load', async () => {
     await start('memory-kill', SLOW_STORE)
-    const asked = askAll(site, 2)
+    const pending = requestAllModels(site, 2)
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadStarted.number, 'a load to begin')
     await site.agent('a1').kill()
     await site.agent('a1').restart()
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 
@@ -54,24 +54,24 @@
   // then unknown, so its memory must stay reserved until the engine reports it.
   it('when responses to orders are lost', async () => {
     await start('memory-silent', SLOW_STORE)
-    const asked = askAll(site, 2)
+    const pending = requestAllModels(site, 2)
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadStarted.number, 'a load to begin')
     await site.proxy('a1-engine').command({ action: 'fault', fault: { kind: 'drop' }, direction: 'down', scope: 'existing' })
     const mark = site.rig.events.mark()
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadFinished.number, 'a load to end', { sinceMark: mark })
     await site.proxy('a1-engine').command({ action: 'fault', fault: { kind: 'drop' }, direction: 'down', scope: 'existing' })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 
   // The engine dies, loses all loaded models and restarts empty.
   it('when the engine is killed', async () => {
     await start('memory-engine', SLOW_STORE)
-    const asked = askAll(site, 2)
+    const pending = requestAllModels(site, 2)
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadFinished.number, 'a load to end')
     await site.backend('a1').kill()
     await site.backend('a1').restart()
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 })
--- a/packages/proof/src/promises/notRun.test.ts
+++ b/packages/proof/src/promises/notRun.test.ts
@@ -9,7 +9,7 @@
 import type { Site } from '../rig/createSite.js'
 
 /** Engines that run one request at a time, so that a short burst is an overload. */
-const NARROW: readonly AgentPlan[] = ['a1', 'a2'].map(name => ({
+const SERIAL_AGENTS: readonly AgentPlan[] = ['a1', 'a2'].map(name => ({
   name, services: [SERVICE], backendKeys: { ...SLOW_TOKENS, batch_size: 1 }, proxied: ['engine'] as const
 }))
 
@@ -23,53 +23,53 @@
     })))
 
   /** Prompts that were refused as "not run" although they ran. */
-  const liesAmong = (outcomes: readonly CallOutcome[], prompt: string): readonly string[] =>
+  const findFalseNotRun = (outcomes: readonly CallOutcome[], prompt: string): readonly string[] =>
     outcomes.flatMap((outcome, index) => {
-      const said = outcome.kind === 'refused' && outcome.refusal?.runState === RunState.NOT_RUN
-      return said && runCountOf(site, `${prompt} ${index}`) > 0 ? [`${prompt} ${index}`] : []
+      const isNotRun = outcome.kind === 'refused' && outcome.refusal?.runState === RunState.NOT_RUN
+      return isNotRun && runCountOf(site, `${prompt} ${index}`) > 0 ? [`${prompt} ${index}`] : []
     })
 
   // Far more requests arrive than can be served before their deadline. A refused request must never have been started.
   it('under overload', async () => {
-    site = await startSmallSite('notrun-overload', { agents: NARROW })
+    site = await startSmallSite('notrun-overload', { agents: SERIAL_AGENTS })
     await warmUp(site)
     for (const repeatable of [true, false]) {
       const prompt = repeatable ? 'again-' : 'bill-'
       const outcomes = await sendMany(12, prompt, 2500, repeatable)
       expect(outcomes.filter(outcome => outcome.kind === 'broken')).to.deep.equal([])
       expect(outcomes.some(outcome => outcome.kind === 'refused')).to.equal(true)
-      expect(liesAmong(outcomes, prompt)).to.deep.equal([])
+      expect(findFalseNotRun(outcomes, prompt)).to.deep.equal([])
     }
   })
 
   // The engine dies with some requests running and others waiting. Those that ran must not be refused as "not run".
   it('when the engine is killed', async () => {
-    site = await startSmallSite('notrun-engine', { agents: NARROW })
+    site = await startSmallSite('notrun-engine', { agents: SERIAL_AGENTS })
     await warmUp(site)
-    const sent = sendMany(6, 'dies-', 6000, false)
+    const pending = sendMany(6, 'dies-', 6000, false)
     const engine = site.backend(await site.rig.events.waitFor(event => event.name === 'generateStarted' && event.detail?.startsWith('dies-') === true, 'a run').then(event => event.instance.replace('backend-', '')))
     await engine.kill()
     await engine.restart()
-    expect(liesAmong(await sent, 'dies-')).to.deep.equal([])
+    expect(findFalseNotRun(await pending, 'dies-')).to.deep.equal([])
   })
 
   // Requests reach the engine and run, but its responses never reach the agent.
   it('when responses of the engine are lost', async () => {
-    site = await startSmallSite('notrun-lost', { agents: NARROW })
+    site = await startSmallSite('notrun-lost', { agents: SERIAL_AGENTS })
     await warmUp(site)
     for (const agent of ['a1', 'a2']) await site.proxy(`${agent}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, direction: 'down', scope: 'all' })
-    const sent = sendMany(4, 'lost-', 5000, false)
-    expect(liesAmong(await sent, 'lost-')).to.deep.equal([])
+    const pending = sendMany(4, 'lost-', 5000, false)
+    expect(findFalseNotRun(await pending, 'lost-')).to.deep.equal([])
   })
 
   // The agent is killed with one request running and others waiting.
   it('when the agent is killed', async () => {
-    site = await startSmallSite('notrun-agent', { agents: NARROW })
+    site = await startSmallSite('notrun-agent', { agents: SERIAL_AGENTS })
     await warmUp(site)
-    const sent = sendMany(4, 'killed-', 5000, false)
-    const first = await Promise.race([0, 1, 2, 3].map(async index => await waitForRun(site, `killed- ${index}`)))
-    await site.agent(first).kill()
-    await site.agent(first).restart()
-    expect(liesAmong(await sent, 'killed-')).to.deep.equal([])
+    const pending = sendMany(4, 'killed-', 5000, false)
+    const holder = await Promise.race([0, 1, 2, 3].map(async index => await waitForRun(site, `killed- ${index}`)))
+    await site.agent(holder).kill()
+    await site.agent(holder).restart()
+    expect(findFalseNotRun(await pending, 'killed-')).to.deep.equal([])
   })
 })
--- a/packages/proof/src/promises/once.test.ts
+++ b/packages/proof/src/promises/once.test.ts
@@ -11,14 +11,14 @@
 const slowAgents = (...proxied: ReadonlyArray<'engine' | 'peer' | 'log'>): readonly AgentPlan[] =>
   ['a1', 'a2'].map(name => ({ name, services: [SERVICE], backendKeys: SLOW_TOKENS, proxied }))
 
-const ONCE = { repeatable: false, maxTokens: 100 } as const
+const NON_REPEATABLE = { repeatable: false, maxTokens: 100 } as const
 
 describe('a request that may not be repeated runs at most once', () => {
   let site: Site
   afterEach(async () => await site.close())
 
   const sendTo = async (router: string, prompt: string, resendCount: number): Promise<CallOutcome> =>
-    await callOnce(site.router(router).address, { service: SERVICE, model: MODEL, prompt, requestKey: prompt, issuedAtMs, resendCount, ...ONCE })
+    await callOnce(site.router(router).address, { service: SERVICE, model: MODEL, prompt, requestKey: prompt, issuedAtMs, resendCount, ...NON_REPEATABLE })
   let issuedAtMs = 0
   beforeEach(() => { issuedAtMs = Date.now() })
 
@@ -29,10 +29,10 @@
     await warmUp(site)
     const first = sendTo('r1', 'billed', 0)
     await waitForRun(site, 'billed')
-    const [one, two] = await Promise.all([first, sendTo('r2', 'billed', 1)])
-    expect(one.kind).to.equal('answered')
-    expect(two.kind).to.equal('answered')
-    expect(two.tokens).to.deep.equal(one.tokens)
+    const [firstOutcome, secondOutcome] = await Promise.all([first, sendTo('r2', 'billed', 1)])
+    expect(firstOutcome.kind).to.equal('answered')
+    expect(secondOutcome.kind).to.equal('answered')
+    expect(secondOutcome.tokens).to.deep.equal(firstOutcome.tokens)
     expect(runCountsOf(site, 'billed')).to.deep.equal([1])
   })
 
@@ -55,11 +55,11 @@
   it('when its agent is killed while it runs', async () => {
     site = await startSmallSite('once-kill-agent', { agents: slowAgents() })
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'agent dies', ...ONCE }, 15_000)
+    const pending = sendToSite(site, { prompt: 'agent dies', ...NON_REPEATABLE }, 15_000)
     const agent = site.agent(await waitForRun(site, 'agent dies'))
     await agent.kill()
     await agent.restart()
-    const { last } = await asked
+    const { last } = await pending
     if (last.kind !== 'answered') expect(last.refusal?.runState).to.be.oneOf([RunState.MAY_HAVE_RUN, RunState.RAN])
     expect(runCountsOf(site, 'agent dies')).to.deep.equal([1])
   })
@@ -68,11 +68,11 @@
   it('when its engine is killed while it runs', async () => {
     site = await startSmallSite('once-kill-engine', { agents: slowAgents() })
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'engine dies', ...ONCE }, 15_000)
+    const pending = sendToSite(site, { prompt: 'engine dies', ...NON_REPEATABLE }, 15_000)
     const engine = site.backend(await waitForRun(site, 'engine dies'))
     await engine.kill()
     await engine.restart()
-    const { last } = await asked
+    const { last } = await pending
     expect(last.kind).to.equal('refused')
     expect(last.refusal?.runState).to.be.oneOf([RunState.MAY_HAVE_RUN, RunState.RAN])
     expect(runCountsOf(site, 'engine dies')).to.deep.equal([1])
@@ -82,10 +82,10 @@
   it('when the links to its agent go silent', async () => {
     site = await startSmallSite('once-silent-link', { agents: slowAgents('peer') })
     await warmUp(site)
-    const asked = sendMany(site, 6, 'silent', ONCE)
+    const pending = sendMany(site, 6, 'silent', NON_REPEATABLE)
     const holder = await waitForRun(site, 'silent 0')
     await site.proxy(`${holder}-peer`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expect(runCountsOf(site, 'silent')).to.deep.equal(Array(6).fill(1))
   })
 
@@ -93,10 +93,10 @@
   it('when the connection to the engine goes silent', async () => {
     site = await startSmallSite('once-silent-engine', { agents: slowAgents('engine') })
     await warmUp(site)
-    const asked = sendMany(site, 6, 'quiet', ONCE)
+    const pending = sendMany(site, 6, 'quiet', NON_REPEATABLE)
     const holder = await waitForRun(site, 'quiet 0')
     await site.proxy(`${holder}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expect(runCountsOf(site, 'quiet')).to.deep.equal(Array(6).fill(1))
   })
 
@@ -112,9 +112,9 @@
     const refused = await sendTo('r1', 'log down', 0)
     expect(refused.refusal?.runState, JSON.stringify(refused)).to.equal(RunState.NOT_RUN)
     expect(runCountsOf(site, 'log down')).to.deep.equal([])
-    const asked = sendMany(site, 4, 'outage', { ...ONCE, maxTokens: 5 })
+    const pending = sendMany(site, 4, 'outage', { ...NON_REPEATABLE, maxTokens: 5 })
     await site.log.command({ action: 'outage', on: false })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expect(runCountsOf(site, 'outage')).to.deep.equal(Array(4).fill(1))
   })
 })
--- a/packages/proof/src/promises/plainCalls.test.ts
+++ b/packages/proof/src/promises/plainCalls.test.ts
@@ -6,7 +6,7 @@
 
 import type { Site } from '../rig/createSite.js'
 
-const SURVEY = 'survey-app'
+const PLAIN_SERVICE = 'survey-app'
 
 describe('calls of plain services', () => {
   let site: Site
@@ -14,13 +14,13 @@
 
   const start = async (name: string, delayMs: number): Promise<void> => {
     site = await startSmallSite(name, {
-      agents: [{ name: 'p1', services: [SURVEY], backend: 'plain', backendKeys: { delay_ms: delayMs } }],
-      items: [plainService(SURVEY)]
+      agents: [{ name: 'p1', services: [PLAIN_SERVICE], backend: 'plain', backendKeys: { delay_ms: delayMs } }],
+      items: [plainService(PLAIN_SERVICE)]
     })
   }
 
   const call = async (router: string, key: string, resendCount: number): Promise<Response> =>
-    await fetch(`http://${site.router(router).address}/plain/${SURVEY}/bill`, {
+    await fetch(`http://${site.router(router).address}/plain/${PLAIN_SERVICE}/bill`, {
       method: 'POST',
       headers: {
         authorization: `Bearer ${callerKey(DEFAULT_CALLER)}`,
@@ -54,11 +54,11 @@
     const first = await callUntilServed('r1', 'warm')
     expect(await first.json()).to.deep.include({ key: 'warm', count: 1, path: '/bill', bodyBytes: 9 })
     issuedAtMs = Date.now()
-    const sent = call('r1', 'bill', 0)
+    const pending = call('r1', 'bill', 0)
     await site.rig.events.waitFor(event => event.name === 'plainCalled' && event.requestKey === 'bill', 'the call to run')
-    const [one, two] = await Promise.all([sent, call('r2', 'bill', 1)])
-    expect([one.status, two.status]).to.deep.equal([200, 200])
-    expect(await two.json()).to.deep.equal(await one.json())
+    const [firstResponse, secondResponse] = await Promise.all([pending, call('r2', 'bill', 1)])
+    expect([firstResponse.status, secondResponse.status]).to.deep.equal([200, 200])
+    expect(await secondResponse.json()).to.deep.equal(await firstResponse.json())
     expect(await runCount('bill')).to.equal(1)
   })
 
--- a/packages/proof/src/promises/replicaSpread.test.ts
+++ b/packages/proof/src/promises/replicaSpread.test.ts
@@ -26,7 +26,7 @@
   return incarnations
 }
 
-const grantOf = ([slotIndex, agent]: Grant, incarnations: ReadonlyMap<string, Incarnation>): LogRecord => ({
+const toGrantRecord = ([slotIndex, agent]: Grant, incarnations: ReadonlyMap<string, Incarnation>): LogRecord => ({
   kind: 'right.grant',
   recordId: randomUUID(),
   writer: WRITER,
@@ -53,7 +53,7 @@
     bodyJson: JSON.stringify(service.body),
     operatorName: 'desk'
   }
-  const records = [config, ...grants.map(grant => grantOf(grant, incarnations))]
+  const records = [config, ...grants.map(grant => toGrantRecord(grant, incarnations))]
   const appended = await log.append(records.map(encodeRecord)).run()
   log.close()
   appended.unsafeCoerce()
@@ -63,8 +63,8 @@
   let site: Site
   afterEach(async () => await site.close())
 
-  // Guards against callers who are refused until a lost instance is voided. Two routers grant slots at the same moment,
-  // one of them has only that instance in its view, and the instance gets every slot.
+  // Guards against callers that are refused until the rights of a lost instance are voided. Two routers grant slots at the
+  // same moment, one of them has only that instance in its view, and the instance gets every slot.
   it('survive the loss of an instance to which racing routers granted every slot', async () => {
     const service = modelService(SERVICE, [{ name: MODEL, maxReplicas: 2 }])
     site = await startSmallSite('replicas-raced', {
@@ -74,9 +74,9 @@
     })
     await waitForSlots(site, 2)
     await warmUp(site)
-    const asked = sendToSite(site, { prompt: 'lost', maxTokens: 100 })
+    const pending = sendToSite(site, { prompt: 'lost', maxTokens: 100 })
     const holder = await waitForRun(site, 'lost')
     await Promise.all([site.agent(holder).kill(), site.backend(holder).kill()])
-    expectAnswered([await asked])
+    expectAnswered([await pending])
   })
 })
--- a/packages/proof/src/promises/replicas.test.ts
+++ b/packages/proof/src/promises/replicas.test.ts
@@ -22,11 +22,11 @@
   // loading. Two replicas would load if the agent did not find that load, or if another agent loaded as well.
   it('when the agent is killed in the middle of the load', async () => {
     site = await startSmallSite('replicas-kill-agent', { weights: SLOW_STORE })
-    const asked = sendMany(site, 10, 'kill')
+    const pending = sendMany(site, 10, 'kill')
     const holder = site.agent(await waitForLoad(site))
     await holder.kill()
     await holder.restart()
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 
@@ -34,11 +34,11 @@
   // agent may load the model.
   it('when the engine is killed in the middle of the load', async () => {
     site = await startSmallSite('replicas-kill-engine', { weights: SLOW_STORE })
-    const asked = sendMany(site, 10, 'kill')
+    const pending = sendMany(site, 10, 'kill')
     const engine = site.backend(await waitForLoad(site))
     await engine.kill()
     await engine.restart()
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 
@@ -58,10 +58,10 @@
       weights: SLOW_STORE,
       agents: ['a1', 'a2'].map(name => ({ name, services: [SERVICE], proxied: ['engine'] as const }))
     })
-    const asked = sendMany(site, 10, 'silent')
+    const pending = sendMany(site, 10, 'silent')
     const holder = await waitForLoad(site)
     await site.proxy(`${holder}-engine`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 
@@ -70,10 +70,10 @@
   it('when the weight store refuses the load', async () => {
     site = await startSmallSite('replicas-store', { weights: { loads_per_second: 0.5 } })
     await site.weights.command({ action: 'outage', on: true })
-    const asked = sendMany(site, 10, 'store')
+    const pending = sendMany(site, 10, 'store')
     await site.rig.events.waitFor(event => event.number === StandinEvent.loadFailed.number && event.model === MODEL_ID, 'a load to fail')
     await site.weights.command({ action: 'outage', on: false })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
   })
 })
--- a/packages/proof/src/promises/stopping.test.ts
+++ b/packages/proof/src/promises/stopping.test.ts
@@ -9,10 +9,10 @@
 import type { Site } from '../rig/createSite.js'
 
 const SLOW_AGENTS = ['a1', 'a2'].map(name => ({ name, services: [SERVICE], backendKeys: { ...SLOW_TOKENS, batch_size: 32 } }))
-const LONG = { maxTokens: 100 } as const
+const LONG_ANSWER = { maxTokens: 100 } as const
 
 /** Prompts of requests with a send that ended without an answer or a refusal. */
-const cutAmong = (outcomes: readonly RequestOutcome[]): readonly string[] =>
+const findCutPrompts = (outcomes: readonly RequestOutcome[]): readonly string[] =>
   outcomes.flatMap(({ plan, sends }) => sends.some(send => send.kind === 'broken') ? [plan.prompt] : [])
 
 describe('a planned stop cuts no request', () => {
@@ -23,38 +23,38 @@
   it('of a router', async () => {
     site = await startSmallSite('stop-router', { agents: SLOW_AGENTS })
     await warmUp(site)
-    const asked = sendMany(site, 10, 'router', LONG)
+    const pending = sendMany(site, 10, 'router', LONG_ANSWER)
     await waitForRun(site, 'router 0')
     expect((await site.router('r1').stop()).code).to.equal(0)
-    const outcomes = await asked
+    const outcomes = await pending
     expectAnswered(outcomes)
-    expect(cutAmong(outcomes)).to.deep.equal([])
+    expect(findCutPrompts(outcomes)).to.deep.equal([])
   })
 
   // An agent gets SIGTERM while its engine streams answers and other requests wait in its queue.
   it('of an agent', async () => {
     site = await startSmallSite('stop-agent', { agents: SLOW_AGENTS, items: [modelService(SERVICE, [{ name: MODEL, maxReplicas: 2 }])] })
     await warmUp(site)
-    const asked = sendMany(site, 10, 'agent', LONG)
+    const pending = sendMany(site, 10, 'agent', LONG_ANSWER)
     const holder = await waitForRun(site, 'agent 0')
     expect((await site.agent(holder).stop()).code).to.equal(0)
-    const outcomes = await asked
+    const outcomes = await pending
     expectAnswered(outcomes)
-    expect(cutAmong(outcomes)).to.deep.equal([])
+    expect(findCutPrompts(outcomes)).to.deep.equal([])
   })
 
   // An agent gets SIGTERM in the middle of a load with callers waiting; the only replica must move to another agent.
   it('of an agent in the middle of a load', async () => {
     site = await startSmallSite('stop-loading', { weights: SLOW_STORE })
-    const asked = sendMany(site, 6, 'loading')
+    const pending = sendMany(site, 6, 'loading')
     const holder = await waitForLoad(site)
     await site.list.command({ action: 'leaving', name: holder })
     expect((await site.agent(holder).stop()).code).to.equal(0)
     await site.backend(holder).stop()
     await site.delist(holder)
-    const outcomes = await asked
+    const outcomes = await pending
     expectAnswered(outcomes)
-    expect(cutAmong(outcomes)).to.deep.equal([])
+    expect(findCutPrompts(outcomes)).to.deep.equal([])
     expectWithinBounds(site)
   })
 
@@ -75,10 +75,10 @@
   it('of a router while the log is down', async () => {
     site = await startSmallSite('stop-log-down', { agents: SLOW_AGENTS })
     await warmUp(site)
-    const asked = callOnce(site.router('r1').address, { service: SERVICE, model: MODEL, prompt: 'down', requestKey: 'down', ...LONG })
+    const pending = callOnce(site.router('r1').address, { service: SERVICE, model: MODEL, prompt: 'down', requestKey: 'down', ...LONG_ANSWER })
     await waitForRun(site, 'down')
     await site.log.command({ action: 'outage', on: true })
     expect((await site.router('r1').stop()).code).to.equal(0)
-    expect((await asked).kind).to.equal('answered')
+    expect((await pending).kind).to.equal('answered')
   })
 })
--- a/packages/proof/src/promises/takeOverLost.test.ts
+++ b/packages/proof/src/promises/takeOverLost.test.ts
@@ -15,11 +15,11 @@
   // platform's list. After the required wait another agent, and only one, must take over.
   it('when the instance is lost in the middle of the load', async () => {
     site = await startSmallSite('replicas-lose-instance', { weights: SLOW_STORE })
-    const asked = sendMany(site, 10, 'lost', {}, TAKEOVER_TIMEOUT_MS)
+    const pending = sendMany(site, 10, 'lost', {}, TAKEOVER_TIMEOUT_MS)
     const lost = await waitForLoad(site)
     await Promise.all([site.agent(lost).kill(), site.backend(lost).kill()])
     await site.delist(lost)
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
     expect(site.rig.events.all().filter(event => event.number === StandinEvent.loadFinished.number).map(event => event.instance))
       .to.deep.equal([`backend-${otherAgent(lost)}`])
@@ -29,12 +29,12 @@
   // an append whose response was lost must not grant a right twice.
   it('when responses of the log are lost during a takeover', async () => {
     site = await startSmallSite('replicas-lost-answers', { weights: SLOW_STORE })
-    const asked = sendMany(site, 6, 'lost answers', {}, TAKEOVER_TIMEOUT_MS)
+    const pending = sendMany(site, 6, 'lost answers', {}, TAKEOVER_TIMEOUT_MS)
     const lost = await waitForLoad(site)
     await site.log.command({ action: 'lose', count: 4 })
     await Promise.all([site.agent(lost).kill(), site.backend(lost).kill()])
     await site.delist(lost)
-    expectAnswered(await asked)
+    expectAnswered(await pending)
     expectWithinBounds(site)
     expect(site.rig.events.all().some(event => event.number === StandinEvent.answerLost.number)).to.equal(true)
   })
--- a/packages/proof/src/promises/takeOverPaused.test.ts
+++ b/packages/proof/src/promises/takeOverPaused.test.ts
@@ -19,7 +19,7 @@
     return holder
   }
 
-  const wake = async (holder: string): Promise<void> => {
+  const resumeHolder = async (holder: string): Promise<void> => {
     site.agent(holder).resume()
     await site.rig.events.waitFor(event => event.instance === holder && event.name === 'pauseNoticed', 'the holder to notice its pause')
   }
@@ -30,7 +30,7 @@
   it('and another agent takes over', async () => {
     const holder = await pauseHolder('take-over-paused', true)
     expectAnswered(await sendMany(site, 6, 'meanwhile', {}, TAKEOVER_TIMEOUT_MS))
-    await wake(holder)
+    await resumeHolder(holder)
     expectAnswered(await sendMany(site, 6, 'after'))
     expectWithinBounds(site)
   })
@@ -42,7 +42,7 @@
     const refused = await sendMany(site, 6, 'meanwhile', {}, 1)
     expect(refused.map(({ last }) => last.kind)).to.deep.equal(Array(6).fill('refused'))
     expect(refused.filter(({ last }) => (last.refusal?.retryAfterMs ?? 0) === 0)).to.deep.equal([])
-    await wake(holder)
+    await resumeHolder(holder)
     await site.relist(holder)
     expectAnswered(await sendMany(site, 6, 'after'))
     expectWithinBounds(site)
--- a/packages/proof/src/promises/waiting.test.ts
+++ b/packages/proof/src/promises/waiting.test.ts
@@ -18,20 +18,20 @@
   // the other router with the same key and must be served there.
   it('when its router is killed', async () => {
     site = await startSmallSite('waiting-kill-router', { weights: SLOW_STORE })
-    const asked = sendMany(site, 10, 'router')
+    const pending = sendMany(site, 10, 'router')
     await waitForLoad(site)
     await site.router('r1').kill()
-    expectAnswered(await asked)
+    expectAnswered(await pending)
   })
 
   // The connections from the routers to the agent go silent for good while requests wait there; new connections work.
   // Without a heartbeat the callers would wait until their deadline.
   it('when the link to its agent goes silent', async () => {
     site = await startSmallSite('waiting-silent-link', { weights: SLOW_STORE, agents: proxiedAgents('peer') })
-    const asked = sendMany(site, 10, 'link')
+    const pending = sendMany(site, 10, 'link')
     const holder = await waitForLoad(site)
     await site.proxy(`${holder}-peer`).command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    const outcomes = await asked
+    const outcomes = await pending
     expectAnswered(outcomes)
     expect(outcomes.filter(outcome => outcome.sends.length > 1)).to.deep.equal([])
   })
@@ -58,12 +58,12 @@
   // The agent is paused for some seconds while requests wait in its queue.
   it('when its agent is paused for a while', async () => {
     site = await startSmallSite('waiting-pause', { weights: SLOW_STORE })
-    const asked = sendMany(site, 10, 'pause')
+    const pending = sendMany(site, 10, 'pause')
     const holder = site.agent(await waitForLoad(site))
     holder.pause()
     await site.rig.events.waitFor(event => event.name === 'linkClosed' && event.peer === holder.address, 'a router to give up the link')
     holder.resume()
-    expectAnswered(await asked)
+    expectAnswered(await pending)
   })
 
   // A cold model cannot be loaded because the weight store is down. Each caller must be refused with a retry time
@@ -74,9 +74,9 @@
     const refused = await callOnce(site.router('r1').address, { service: SERVICE, model: MODEL, prompt: 'store', requestKey: 'w-1', deadlineMs: 4000 })
     expect(refused.kind).to.equal('refused')
     expect(refused.refusal?.retryAfterMs).to.be.greaterThan(0)
-    const asked = sendMany(site, 4, 'store back')
+    const pending = sendMany(site, 4, 'store back')
     await site.weights.command({ action: 'outage', on: false })
-    expectAnswered(await asked)
+    expectAnswered(await pending)
   })
 
   // Log, instance list and weight store are unreachable while a model is loaded. Requests for that model need none of
@@ -109,9 +109,9 @@
   // A router is killed while the log is down. The requests that waited there must be served at the other router.
   it('when router and log fail together', async () => {
     site = await startSmallSite('waiting-two', { weights: SLOW_STORE })
-    const asked = sendMany(site, 10, 'two at once')
+    const pending = sendMany(site, 10, 'two at once')
     await waitForLoad(site)
     await Promise.all([site.router('r2').kill(), site.log.command({ action: 'outage', on: true })])
-    expectAnswered(await asked)
+    expectAnswered(await pending)
   })
 })
