--- a/packages/load/src/experiment/parseExperiment.ts
+++ b/packages/load/src/experiment/parseExperiment.ts
@@ -50,7 +50,7 @@
 
 const faultSection = z.strictObject({
   at_s: decimal,
-  address: z.string('host:port of a control endpoint'),
+  address: z.string('host:port of a control API'),
   path: z.string('a path that begins with /').startsWith('/'),
   body: z.string('JSON').refine(text => Either.encase(() => JSON.parse(text) as unknown).isRight(), 'JSON')
 })
--- a/packages/load/src/experiment/types.ts
+++ b/packages/load/src/experiment/types.ts
@@ -44,11 +44,11 @@
   readonly key: string
 }
 
-/** A fault that a stand-in is ordered to simulate during the run, through its control endpoint. */
+/** A fault that a stand-in is instructed to simulate during the run, by a request to its control API. */
 export interface FaultPlan {
   readonly name: string
   readonly atMs: number
-  /** The host:port of the control endpoint. */
+  /** The host:port of the stand-in's control API. */
   readonly address: string
   readonly path: string
   readonly bodyJson: string
--- a/packages/load/src/faults/scheduleFaults.ts
+++ b/packages/load/src/faults/scheduleFaults.ts
@@ -4,7 +4,7 @@
 import type { Fault, TimerService, Unsubscribe } from '@figmount/base'
 import type { FaultPlan } from '../experiment/types.js'
 
-/** Posts one planned fault to a control endpoint. */
+/** Posts one planned fault to the control API of a stand-in. */
 const injectFault = (plan: FaultPlan): EitherAsync<Fault, void> =>
   EitherAsync<Fault, Response>(async ({ throwE }) => {
     try {
--- a/packages/proof/src/rig/types.ts
+++ b/packages/proof/src/rig/types.ts
@@ -24,7 +24,7 @@
   readonly name: string
   /** The host:port it listens on. */
   readonly address: string
-  /** The host:port of its control endpoint; differs from `address` only for proxies. */
+  /** The host:port of its control API; differs from `address` only for proxies. */
   readonly controlAddress: string
   readonly pid: () => number
   readonly isRunning: () => boolean
@@ -36,9 +36,9 @@
   /** Resolves when the process has exited for any reason. */
   readonly ended: () => Promise<ExitReport>
   readonly restart: () => Promise<void>
-  /** Posts a command to the control endpoint of a stand-in. */
+  /** Posts a command to the control API of a stand-in. */
   readonly command: (command: object) => Promise<unknown>
-  /** Reads the state of a stand-in from its control endpoint. */
+  /** Reads the state of a stand-in through its control API. */
   readonly dump: () => Promise<Record<string, unknown>>
   readonly errorText: () => string
 }
