--- a/packages/base/src/binary/readArguments.test.ts
+++ b/packages/base/src/binary/readArguments.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai'
 
-import { readPlainArguments } from './readArguments.js'
+import { parseKnownOptions } from './readArguments.js'
 
-const read = (line: string) => readPlainArguments(line.split(' '))
+const read = (line: string) => parseKnownOptions(line.split(' '))
 
 describe('a daemon\'s command line', () => {
   it('is parsed without yargs if it only has known options', () => {
--- a/packages/base/src/binary/readArguments.ts
+++ b/packages/base/src/binary/readArguments.ts
@@ -16,7 +16,7 @@
  *
  * Daemons are normally started this way, and many at once after a power failure: loading yargs takes a tenth of the startup time.
  */
-export const readPlainArguments = (args: readonly string[]): Arguments | undefined => {
+export const parseKnownOptions = (args: readonly string[]): Arguments | undefined => {
   let parsed = DEFAULTS
   for (let index = 0; index < args.length; index++) {
     const [option, value] = [args[index], args[index + 1]]
@@ -30,7 +30,7 @@
   return parsed.settings === '' ? undefined : parsed
 }
 
-const readWithYargs = async (name: string, summary: string, args: readonly string[]): Promise<Arguments> => {
+const parseWithYargs = async (name: string, summary: string, args: readonly string[]): Promise<Arguments> => {
   const { default: yargs } = await import('yargs')
   const parsed = await yargs(args)
     .scriptName(name)
@@ -51,4 +51,4 @@
 
 /** Parses a daemon's command line. For help, version and errors it prints the text and exits the process. */
 export const readArguments = async (name: string, summary: string, args: readonly string[]): Promise<Arguments> =>
-  readPlainArguments(args) ?? await readWithYargs(name, summary, args)
+  parseKnownOptions(args) ?? await parseWithYargs(name, summary, args)
--- a/packages/base/src/errors/types.ts
+++ b/packages/base/src/errors/types.ts
@@ -15,7 +15,7 @@
 /** A failure returned as a value, with the step and the peer at which it occurred. */
 export interface Fault {
   readonly kind: FaultKind
-  /** The operation that failed, as `slice.action`. */
+  /** The operation that failed, as `module.action`, such as `links.open`. */
   readonly step: string
   /** The other party of the operation: an instance, an address or a file. */
   readonly peer: string
--- a/packages/base/src/metrics/createMetrics.test.ts
+++ b/packages/base/src/metrics/createMetrics.test.ts
@@ -6,7 +6,8 @@
 
 describe('metrics', () => {
   it('count every duration, including those observed before the histogram module is loaded', async () => {
-    // Guards against durations of a process's first requests that are lost or crash the process.
+    // The histogram module is loaded on first use. Durations recorded before it is loaded, those of a process's first
+    // requests, must not get lost or crash the process.
     const metrics = createMetrics()
     for (const valueMs of [1, 2, 3]) metrics.observeMs('request_ms', valueMs)
     for (let tries = 0; tries < 100 && metrics.lines().length === 0; tries++) await sleep(10)
--- a/packages/base/src/metrics/createMetrics.ts
+++ b/packages/base/src/metrics/createMetrics.ts
@@ -11,9 +11,9 @@
 const QUANTILES = [50, 90, 99, 99.9] as const
 
 const histogramSamples = (name: string, histogram: Histogram): readonly MetricSample[] => {
-  const quantiles = QUANTILES.map(q => ({
-    name: `${name}{quantile="${q / 100}"}`,
-    value: histogram.getValueAtPercentile(q) / MICROSECONDS_PER_MS
+  const quantiles = QUANTILES.map(percentile => ({
+    name: `${name}{quantile="${percentile / 100}"}`,
+    value: histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS
   }))
   return [...quantiles, { name: `${name}_count`, value: histogram.totalCount }]
 }
--- a/packages/base/src/timers/createTimerService.ts
+++ b/packages/base/src/timers/createTimerService.ts
@@ -1,14 +1,14 @@
 import type { TimerService } from './types.js'
 
-type Fire = () => void
+type Callback = () => void
 
 /** A Node interval shared by all subscribers with the same period. */
 interface SharedInterval {
   readonly timer: NodeJS.Timeout
-  readonly subscribers: Set<Fire>
+  readonly subscribers: Set<Callback>
 }
 
-const callAll = (subscribers: ReadonlySet<Fire>): void => {
+const callAll = (subscribers: ReadonlySet<Callback>): void => {
   for (const fire of [...subscribers]) {
     // An earlier callback of this tick may have unsubscribed this one.
     if (subscribers.has(fire)) fire()
@@ -20,7 +20,7 @@
   const intervals = new Map<number, SharedInterval>()
 
   const startInterval = (periodMs: number): SharedInterval => {
-    const subscribers = new Set<Fire>()
+    const subscribers = new Set<Callback>()
     const timer = setInterval(() => { callAll(subscribers) }, periodMs).unref()
     const interval = { timer, subscribers }
     intervals.set(periodMs, interval)
--- a/packages/client/src/calling/createCaller.test.ts
+++ b/packages/client/src/calling/createCaller.test.ts
@@ -84,7 +84,7 @@
   it('gives up on a refusal without a retry time, or when its time is up', async () => {
     const refused = await runCall([[refusal(RunState.MAY_HAVE_RUN, 0)]])
     expect(refused.outcome).to.include({ kind: 'refused', sendCount: 1 })
-    const impatient = await runCall([[refusal(RunState.NOT_RUN, 400)]], 1_000)
-    expect(impatient.outcome).to.include({ kind: 'givenUp', sendCount: 3 })
+    const timedOut = await runCall([[refusal(RunState.NOT_RUN, 400)]], 1_000)
+    expect(timedOut.outcome).to.include({ kind: 'givenUp', sendCount: 3 })
   })
 })
--- a/packages/client/src/calling/createCaller.ts
+++ b/packages/client/src/calling/createCaller.ts
@@ -35,7 +35,7 @@
 })
 
 /**
- * The issue time and resend count after a refusal. "Not run" means that no send of the key has run, so it counts as
+ * Returns the issue time and resend count for the next send after a refusal. "Not run" means that no send of the key has run, so it counts as
  * newly issued. After any other refusal the issue time stays and the count increases: from them a new holder of the key's
  * right derives whether an earlier holder may have started the request.
  */
--- a/packages/ctl/src/bin.ts
+++ b/packages/ctl/src/bin.ts
@@ -56,7 +56,7 @@
   })
 }
 
-// Every command exits the process explicitly.
+// The timers do not keep the process alive while a command waits. Every command exits the process itself.
 keepProcessAlive()
 
 await yargs(hideBin(process.argv))
--- a/packages/ctl/src/configFile/fileSchemas.ts
+++ b/packages/ctl/src/configFile/fileSchemas.ts
@@ -9,7 +9,7 @@
 const numbersByName = z.string().transform((text, context) => {
   const numbers: Record<string, number> = {}
   for (const part of text.split(',')) {
-    const [name = '', value = '', ...rest] = part.split(':').map(piece => piece.trim())
+    const [name = '', value = '', ...rest] = part.split(':').map(field => field.trim())
     if (rest.length > 0 || name === '' || value === '' || !Number.isFinite(Number(value))) {
       context.addIssue({ code: 'custom', message: 'name:number pairs with commas between them' })
       return z.NEVER
--- a/packages/ctl/src/configFile/parseConfigFile.ts
+++ b/packages/ctl/src/configFile/parseConfigFile.ts
@@ -87,7 +87,7 @@
 }
 
 /** Reports sections of unknown form, such as misspelt ones, and sections whose parent section is missing. */
-const findStraySections = (file: string, sections: Sections): readonly SettingsFault[] => {
+const findInvalidSections = (file: string, sections: Sections): readonly SettingsFault[] => {
   const faults: Faults = []
   for (const section of Object.keys(sections)) {
     const parts = section.split('/')
@@ -104,7 +104,7 @@
 /** Parses a configuration file in INI format. Reports all faults, each with file, section and key. */
 export const parseConfigFile = (file: string, text: string): Either<readonly SettingsFault[], readonly ConfigDraft[]> => {
   const sections: Sections = parse(text)
-  const faults: Faults = [...findStraySections(file, sections)]
+  const faults: Faults = [...findInvalidSections(file, sections)]
   const drafts: ConfigDraft[] = []
   for (const name of childNames(sections, 'service')) {
     const draft = readService(file, sections, name, faults)
--- a/packages/load/src/bin.ts
+++ b/packages/load/src/bin.ts
@@ -7,7 +7,7 @@
 
 import { loadExperiment } from './experiment/parseExperiment.js'
 import { compareReports } from './report/compareReports.js'
-import { renderReport, reportTable } from './report/renderReport.js'
+import { renderReport, makeReportTable } from './report/renderReport.js'
 import { checkStandinTokens } from './running/checkStandinTokens.js'
 import { runExperiment } from './running/runExperiment.js'
 
@@ -43,8 +43,8 @@
 
 const loaded = loadExperiment(String(args._[0]))
 if (loaded.isLeft()) exitWith(ExitCode.Settings, loaded.swap().orDefault([]).map(describeSettingsFault).join('\n'))
-const fromFile = loaded.unsafeCoerce()
-const experiment: Experiment = args.routers === undefined ? fromFile : { ...fromFile, routers: args.routers.split(',') }
+const fileExperiment = loaded.unsafeCoerce()
+const experiment: Experiment = args.routers === undefined ? fileExperiment : { ...fileExperiment, routers: args.routers.split(',') }
 if (args.check) {
   print(`${String(args._[0])}: the experiment is valid`)
   process.exit(ExitCode.Ok)
@@ -80,8 +80,8 @@
   const figures = await runExperiment({ ...experiment, seed }, { timers, events, checkTokens, onProgress, signal: stop.signal })
   runs.push(figures)
   seeds.push(seed)
-  const { headings, rows } = reportTable(figures)
-  print(`\n${experiment.name}, seed ${seed}${figures.partial ? ', PARTIAL: broken off' : ''}`)
+  const { headings, rows } = makeReportTable(figures)
+  print(`\n${experiment.name}, seed ${seed}${figures.partial ? ', PARTIAL: aborted' : ''}`)
   print(renderTable(headings, rows))
 }
 
--- a/packages/load/src/report/renderReport.ts
+++ b/packages/load/src/report/renderReport.ts
@@ -16,7 +16,7 @@
 const drawRun = (run: RunFigures, index: number): string => {
   const maxValue = Math.max(1, ...run.answersBySecond, ...run.refusalsBySecond)
   return [
-    `<h2>Run ${index + 1}${run.partial ? ' (partial: broken off)' : ''}</h2>`,
+    `<h2>Run ${index + 1}${run.partial ? ' (partial: aborted)' : ''}</h2>`,
     `<p>Ends by second, up to ${maxValue} a second: answers green, refusals orange.</p>`,
     `<svg width="${PLOT_WIDTH_PX}" height="${PLOT_HEIGHT_PX}" style="background:#fafafa;border:1px solid #ddd">`,
     polyline(run.answersBySecond, maxValue, COLOURS.answers),
@@ -28,7 +28,7 @@
 const HEADINGS = ['traffic', 'planned', 'answered', 'refused', 'unserved', 'broken', 'resends', 'goodput/s', 'tokens/s', 'first p50', 'p95', 'p99', 'total p50', 'p99', 'gap p95'] as const
 
 /** One row of figures in the order of the headings. */
-const cellsOf = (figures: TrafficFigures): ReadonlyArray<string | number> => [
+const toCells = (figures: TrafficFigures): ReadonlyArray<string | number> => [
   figures.name, figures.plannedCount, figures.answeredCount, figures.refusedCount, figures.unservedCount, figures.brokenCount,
   figures.resendCount, figures.goodputPerSecond.toFixed(1), figures.tokensPerSecond.toFixed(0),
   figures.firstToken.p50Ms, figures.firstToken.p95Ms, figures.firstToken.p99Ms,
@@ -36,13 +36,13 @@
 ]
 
 /** Headings and rows of a run, for a text table. Times are in ms. */
-export const reportTable = (run: RunFigures): { readonly headings: readonly string[], readonly rows: ReadonlyArray<ReadonlyArray<string | number>> } =>
-  ({ headings: HEADINGS, rows: run.traffic.map(cellsOf) })
+export const makeReportTable = (run: RunFigures): { readonly headings: readonly string[], readonly rows: ReadonlyArray<ReadonlyArray<string | number>> } =>
+  ({ headings: HEADINGS, rows: run.traffic.map(toCells) })
 
 const escape = (text: string | number): string => String(text).replaceAll('&', '&amp;').replaceAll('<', '&lt;')
 
 const htmlTable = (run: RunFigures): string => {
-  const { headings, rows } = reportTable(run)
+  const { headings, rows } = makeReportTable(run)
   const head = headings.map(heading => `<th>${heading}</th>`).join('')
   const body = rows.map(row => `<tr>${row.map(cell => `<td>${escape(cell)}</td>`).join('')}</tr>`).join('\n')
   const reasons = run.traffic.map(figures => `${escape(figures.name)}: ${escape(JSON.stringify(figures.refusalsByReason))}`).join('<br>')
--- a/packages/load/src/report/report.test.ts
+++ b/packages/load/src/report/report.test.ts
@@ -49,6 +49,6 @@
 
   it('marks an aborted run as partial', () => {
     const run = summarise({ results: [], partial: true, elapsedMs: 10 })
-    expect(renderReport({ experiment: 'e', seeds: [1], runs: [run] })).to.contain('partial: broken off')
+    expect(renderReport({ experiment: 'e', seeds: [1], runs: [run] })).to.contain('partial: aborted')
   })
 })
--- a/packages/load/src/report/types.ts
+++ b/packages/load/src/report/types.ts
@@ -31,6 +31,7 @@
   readonly elapsedMs: number
   /** Number of answers that ended in each second, for the plot. */
   readonly answersBySecond: readonly number[]
+  /** Number of refused, unserved and broken requests that ended in each second, for the plot. */
   readonly refusalsBySecond: readonly number[]
   readonly traffic: readonly TrafficFigures[]
 }
--- a/packages/standin/src/control/createTokenBucket.ts
+++ b/packages/standin/src/control/createTokenBucket.ts
@@ -2,7 +2,7 @@
 
 /** A rate limit as a token bucket. */
 export interface TokenBucket {
-  /** Takes one token and returns 0; with no token available, takes none and returns the time in ms until there is one. */
+  /** Takes one token and returns 0; if none is available, returns the time in ms until the next one. */
   readonly take: () => number
 }
 
--- a/packages/standin/src/engine/checkpointTiers.ts
+++ b/packages/standin/src/engine/checkpointTiers.ts
@@ -35,7 +35,7 @@
   return next
 }
 
-/** Puts a checkpoint that was used into each tier that can hold it, evicting the least recently used ones beyond the capacity. */
+/** Adds a used checkpoint to each tier that is large enough for it, and evicts the least recently used ones beyond the tier's capacity. */
 export const cacheCheckpoint = (tiers: CheckpointTiers, name: string, sizeMb: number, memoryCapacityMb: number, diskCapacityMb: number): CheckpointTiers => ({
   memory: addToTier(tiers.memory, name, sizeMb, memoryCapacityMb),
   disk: addToTier(tiers.disk, name, sizeMb, diskCapacityMb)
--- a/packages/standin/src/engine/createTokenGenerator.ts
+++ b/packages/standin/src/engine/createTokenGenerator.ts
@@ -91,7 +91,7 @@
     process.exit(ExitCode.Failed)
   }
 
-  const finish = (stream: Stream, stops: boolean): void => {
+  const finishStream = (stream: Stream, stops: boolean): void => {
     stream.state = 'finished'
     stream.finishReason = stops ? FinishReason.STOP : FinishReason.LENGTH
     events.emit(StandinEvent.generateFinished, { attemptId: stream.request.streamId, model: stream.request.model, tokenCount: stream.tokens.length })
@@ -110,7 +110,7 @@
     if (prefixHint !== '') cache = touchPrefix(cache, model, prefixHint, settings.prefix_cache_count, timers.nowMs())
   }
 
-  const run = async (stream: Stream): Promise<void> => {
+  const runStream = async (stream: Stream): Promise<void> => {
     const { request } = stream
     stream.state = 'running'
     const running = streamsInState('running')
@@ -128,7 +128,7 @@
       notifyReaders(stream)
       await sleep(timers, tokenIntervalMs)
     }
-    if (isRunning(stream)) finish(stream, stops)
+    if (isRunning(stream)) finishStream(stream, stops)
     notifyReaders(stream)
   }
 
@@ -137,7 +137,7 @@
     const queued = [...streamsInState('queued')].sort((a, b) => b.request.priority - a.request.priority || a.arrivalIndex - b.arrivalIndex)
     for (const stream of queued.slice(0, Math.max(0, freeCount))) {
       if (kvUsedMb() >= settings.kv_capacity_mb) return
-      run(stream).finally(fillBatch)
+      runStream(stream).finally(fillBatch)
     }
   }
 
@@ -148,7 +148,7 @@
     if (request.adapter !== '' && !resident.adapters.has(request.adapter)) throw new ConnectError('the adapter is not resident', Code.NotFound)
   }
 
-  const end = (stream: Stream, reason: string): void => {
+  const endStream = (stream: Stream, reason: string): void => {
     stream.state = 'ended'
     stream.endReason = reason
     events.emit(StandinEvent.generateEnded, { attemptId: stream.request.streamId, model: stream.request.model, reason })
@@ -209,13 +209,13 @@
     cancel: streamId => {
       const stream = streams.get(streamId)
       if (!stream || !isActive(stream)) return false
-      end(stream, 'cancelled')
+      endStream(stream, 'cancelled')
       fillBatch()
       return true
     },
     endModelStreams: model => {
       for (const stream of streams.values()) {
-        if (stream.request.model === model && isActive(stream)) end(stream, 'model unloaded')
+        if (stream.request.model === model && isActive(stream)) endStream(stream, 'model unloaded')
       }
       cache = removeModelPrefixes(cache, model, timers.nowMs())
     },
--- a/packages/standin/src/engine/startEngine.test.ts
+++ b/packages/standin/src/engine/startEngine.test.ts
@@ -46,7 +46,7 @@
     expect(await collect(engine.generate(GENERATE_REQUEST))).to.deep.equal(expectedTokens(TOKEN_SOURCE, 6))
   })
 
-  it('continues after the done tokens', async () => {
+  it('continues after tokens that were already generated', async () => {
     await engine.load(LOAD_ORDER)
     const all = expectedTokens(TOKEN_SOURCE, 6)
     const chunks: GenerateChunk[] = []
--- a/packages/standin/src/engine/state.test.ts
+++ b/packages/standin/src/engine/state.test.ts
@@ -45,9 +45,9 @@
     const text = fc.string({ maxLength: 8 })
     const source = fc.record({ model: text, version: text, adapter: text, prompt: text })
     fc.assert(fc.property(source, source, (one, other) => {
-      const same = JSON.stringify(one) === JSON.stringify(other)
-      const equal = expectedTokens(one, 3).join('') === expectedTokens(other, 3).join('')
-      expect(equal).to.equal(same)
+      const areSourcesEqual = JSON.stringify(one) === JSON.stringify(other)
+      const areTokensEqual = expectedTokens(one, 3).join('') === expectedTokens(other, 3).join('')
+      expect(areTokensEqual).to.equal(areSourcesEqual)
     }), { seed: 21, numRuns: 300 })
   })
 
--- a/packages/standin/src/proxy/startProxy.test.ts
+++ b/packages/standin/src/proxy/startProxy.test.ts
@@ -35,17 +35,17 @@
 
   // A middlebox loses the state of a connection: bytes written to it are dropped, neither side is closed, and new connections work.
   it('drops bytes on open connections while new ones work', async () => {
-    const old = await openConnection(standin.address)
-    expect(await echo(old, 'one')).to.equal('one')
-    const nextData = once(old, 'data')
+    const existing = await openConnection(standin.address)
+    expect(await echo(existing, 'one')).to.equal('one')
+    const nextData = once(existing, 'data')
     await standin.command({ action: 'fault', fault: { kind: 'drop' }, scope: 'existing' })
-    old.write('two')
+    existing.write('two')
     const fresh = await openConnection(standin.address)
     expect(await echo(fresh, 'three')).to.equal('three')
     await standin.command({ action: 'fault', fault: { kind: 'none' }, scope: 'all' })
-    old.write('four')
+    existing.write('four')
     expect(String((await nextData)[0])).to.equal('four')
-    old.destroy()
+    existing.destroy()
     fresh.destroy()
   })
 
--- a/packages/timeline/src/checking/checkLeaving.ts
+++ b/packages/timeline/src/checking/checkLeaving.ts
@@ -6,7 +6,7 @@
 /** Time after the start of a drain during which an agent may still admit work. */
 export const LEAVING_GRACE_MS = 3_000
 
-/** An agent admits no work later than LEAVING_GRACE_MS after it started to drain. */
+/** An agent admits no work later than LEAVING_GRACE_MS after it started to drain, until the drain ends or the agent restarts. */
 export const checkLeaving: PromiseCheck = events => {
   const drainStarts = new Map<string, TimedEvent>()
   const violations: Violation[] = []
