--- a/packages/capacity/src/measuring/measureInForce.ts
+++ b/packages/capacity/src/measuring/measureInForce.ts
@@ -37,7 +37,7 @@
   }
 }
 
-/** Time until a change is in force in every process, the slowest of several changes, against the number of processes. */
+/** Measures the time until a change is in force in every process, by number of processes; the slowest of several changes counts. */
 export const measureInForce = async (): Promise<readonly Measurement[]> => {
   const points: Point[] = []
   for (const agentCount of AGENT_COUNTS) points.push({ size: agentCount + 1, value: await measureAt(agentCount) })
--- a/packages/capacity/src/measuring/measureLinks.ts
+++ b/packages/capacity/src/measuring/measureLinks.ts
@@ -14,7 +14,7 @@
 const MODEL_COUNT = 20
 const SETTLE_MS = 2_000
 const WINDOW_MS = 3_000
-/** The cheapest of three windows is used: compilation and garbage collection come in bursts that links do not cause. */
+/** Of three windows, the one with the least processor time is used: compilation and garbage collection come in bursts not caused by links. */
 const WINDOW_COUNT = 3
 const MS_PER_SECOND = 1000
 
@@ -25,7 +25,7 @@
 
 const timers = createTimerService()
 
-/** Serves light-weight fake agents in a child process; replies to every message with the bytes on its links so far. */
+/** Serves lightweight fake agents in a child process; replies to each message of the parent with the bytes on all links so far. */
 export const serveAgentsForParent = async (plan: FakeAgentPlan): Promise<void> => {
   const agents = await serveFakeAgents(plan)
   process.send?.(agents.addresses)
@@ -78,7 +78,7 @@
   ]
 }
 
-/** Bytes and processor time that links to agents cost a router, idle and busy, against their number. */
+/** Measures the bytes and processor time that idle and busy links to agents cost a router, by number of links. */
 export const measureLinks = async (): Promise<readonly Measurement[]> => {
   await warmUp()
   return [...await measureKind('idle', false), ...await measureKind('busy', true)]
--- a/packages/capacity/src/measuring/measureRecords.ts
+++ b/packages/capacity/src/measuring/measureRecords.ts
@@ -109,16 +109,16 @@
 
 const METHOD = `one process, services of ${MODELS_PER_SERVICE} models with ${ADAPTERS_PER_MODEL} adapters and ${REPLICAS_PER_MODEL} slots each, ${AGENTS_PER_MODEL} agents a model`
 
-/** Cost of the agreed state against the number of rights, without processes or network. */
+/** Measures the cost of folding, proposing and encoding the state of the log by number of rights, without processes or network. */
 export const measureRecords = async (): Promise<readonly Measurement[]> => {
   const figures = await Promise.resolve(MODEL_COUNTS.map(measureAt))
-  const points = (read: (one: RecordCosts) => number): readonly Point[] => figures.map(one => ({ size: one.rightCount, value: read(one) }))
+  const points = (read: (costs: RecordCosts) => number): readonly Point[] => figures.map(costs => ({ size: costs.rightCount, value: read(costs) }))
   return [
-    { name: 'fold.agentUp', unit: 'us', per: 'rights', method: `fold of one restart; ${METHOD}`, points: points(one => one.agentUpUs) },
-    { name: 'fold.configSet', unit: 'us', per: 'rights', method: `fold of one changed service; ${METHOD}`, points: points(one => one.configSetUs) },
-    { name: 'proposals.idle', unit: 'us', per: 'rights', method: `a round that has nothing to propose; ${METHOD}`, points: points(one => one.idleRoundUs) },
-    { name: 'snapshot.bytes', unit: 'bytes', per: 'rights', method: `encoded snapshot; ${METHOD}`, points: points(one => one.snapshotBytes) },
-    { name: 'records.rebuild', unit: 'ms', per: 'rights', method: `fold of all records from nothing; ${METHOD}`, points: points(one => one.rebuildMs) },
-    { name: 'config.changeBytes', unit: 'bytes', per: 'rights', method: `record of one changed service; ${METHOD}`, points: points(one => one.changeBytes) }
+    { name: 'fold.agentUp', unit: 'us', per: 'rights', method: `fold of one restart; ${METHOD}`, points: points(costs => costs.agentUpUs) },
+    { name: 'fold.configSet', unit: 'us', per: 'rights', method: `fold of one changed service; ${METHOD}`, points: points(costs => costs.configSetUs) },
+    { name: 'proposals.idle', unit: 'us', per: 'rights', method: `a round that has nothing to propose; ${METHOD}`, points: points(costs => costs.idleRoundUs) },
+    { name: 'snapshot.bytes', unit: 'bytes', per: 'rights', method: `encoded snapshot; ${METHOD}`, points: points(costs => costs.snapshotBytes) },
+    { name: 'records.rebuild', unit: 'ms', per: 'rights', method: `fold of all records from nothing; ${METHOD}`, points: points(costs => costs.rebuildMs) },
+    { name: 'config.changeBytes', unit: 'bytes', per: 'rights', method: `record of one changed service; ${METHOD}`, points: points(costs => costs.changeBytes) }
   ]
 }
--- a/packages/capacity/src/measuring/measureRequests.ts
+++ b/packages/capacity/src/measuring/measureRequests.ts
@@ -22,7 +22,7 @@
   const sendOneByOne = async (): Promise<void> => {
     while (next < count) {
       const outcome = await sendUntilEnded(site.routerAddresses, { service: 's', model: 'm', prompt: `${name} ${next++}`, maxTokens })
-      if (outcome.last.kind !== 'answered') throw new Error(`a request of the measurement was ${outcome.last.kind}`)
+      if (outcome.last.kind !== 'answered') throw new Error(`a measured request ended as ${outcome.last.kind}, expected an answer`)
     }
   }
   await Promise.all(Array.from({ length: CONCURRENCY }, sendOneByOne))
@@ -41,7 +41,7 @@
 
 const METHOD = `real processes, one router, one agent, ${REQUEST_COUNT} requests, ${CONCURRENCY} at a time, engine with 10 ms between tokens`
 
-/** Processor time of a request against its tokens: the slope is the cost per token, the intercept the cost per request. */
+/** Measures the processor time of a request by its number of tokens: the slope is the cost per token, the intercept the cost per request. */
 export const measureRequests = async (): Promise<readonly Measurement[]> => {
   const site = await createSite({
     name: 'capacity-requests', routers: [{ name: 'r1' }], agents: [{ name: 'a1', services: ['s'], backendKeys: { batch_size: CONCURRENCY } }]
--- a/packages/capacity/src/measuring/measureSites.ts
+++ b/packages/capacity/src/measuring/measureSites.ts
@@ -63,7 +63,7 @@
 
 const METHOD = `real processes, one router and two agents, models with 2 slots, a keys right and ${ADAPTERS_PER_MODEL} adapters each`
 
-/** Memory and idle processor time of real processes against the number of rights. */
+/** Measures memory and idle processor time of real processes by number of rights. */
 export const measureSites = async (): Promise<readonly Measurement[]> => {
   const figures: Array<readonly [size: number, SiteCosts]> = []
   for (const modelCount of MODEL_COUNTS) figures.push([rightCount(modelCount), await measureSite(modelCount)])
--- a/packages/capacity/src/model/computeCapacity.ts
+++ b/packages/capacity/src/model/computeCapacity.ts
@@ -9,17 +9,17 @@
 const BYTES_PER_MB = 1_000_000
 
 /**
- * Slots of each model, which the target does not state: with six, 1,200 models have one slot per accelerator.
- * A request is assumed to last as long as its tokens at the target's gap.
+ * Replica slots of each model. The target does not state their number: with six, 1,200 models have one slot per accelerator.
+ * A request is assumed to last for its number of tokens times the target's gap between tokens.
  */
 export const SLOTS_PER_MODEL = 6
 
-/** Finds a slope by name; throws if it was not measured, since the model is then wrong. */
+/** Finds a slope by name; throws if it was not measured, since the page cannot be computed without it. */
 type SlopeLookup = (name: string) => Slope
 
 const createSlopeLookup = (slopes: readonly Slope[]): SlopeLookup => name => {
   const found = slopes.find(slope => slope.name === name)
-  if (!found) throw new Error(`there is no measurement named ${name}`)
+  if (!found) throw new Error(`measurement ${name} does not exist`)
   return found
 }
 
@@ -131,7 +131,7 @@
 
 /** Sums of a role's control rows. */
 export const sumControl = (role: RoleCapacity): ControlTotal => ({
-  coreShare: role.control.reduce((sum, one) => sum + one.processorUsPerSecond, 0) / US_PER_SECOND,
-  bytesPerSecond: role.control.reduce((sum, one) => sum + one.bytesPerSecond, 0),
-  memoryMb: role.control.reduce((sum, one) => sum + one.memoryMb, 0)
+  coreShare: role.control.reduce((sum, row) => sum + row.processorUsPerSecond, 0) / US_PER_SECOND,
+  bytesPerSecond: role.control.reduce((sum, row) => sum + row.bytesPerSecond, 0),
+  memoryMb: role.control.reduce((sum, row) => sum + row.memoryMb, 0)
 })
--- a/packages/capacity/src/model/types.ts
+++ b/packages/capacity/src/model/types.ts
@@ -3,7 +3,7 @@
   readonly what: string
   /** The mechanism that does this work. */
   readonly mechanism: string
-  /** How the figure is computed, with the names of the slopes. */
+  /** How the figures are computed, with the names of the slopes. */
   readonly from: string
   readonly processorUsPerSecond: number
   readonly bytesPerSecond: number
--- a/packages/capacity/src/page/renderPage.ts
+++ b/packages/capacity/src/page/renderPage.ts
@@ -22,7 +22,7 @@
   ...rows.map(row => `| ${row.join(' | ')} |`)
 ].join('\n')
 
-const cellsOf = (row: CapacityRow): readonly string[] => [
+const toCells = (row: CapacityRow): readonly string[] => [
   row.what, row.mechanism, row.from, formatFigure(row.processorUsPerSecond / US_PER_SECOND * PERCENT), formatFigure(row.bytesPerSecond), formatFigure(row.memoryMb)
 ]
 
@@ -42,12 +42,12 @@
   const parts = [
     `## ${role.role}`,
     `State: ${role.state}.\n\nMessages: ${role.messages}.`,
-    table(headings, role.control.map(cellsOf))
+    table(headings, role.control.map(toCells))
   ]
   if (role.data.length > 0) {
     parts.push(table(['control in all', 'needed', 'budget', 'verdict'], totalRows(role)))
     parts.push('Work for requests, which is not control:')
-    parts.push(table(['work', 'mechanism', 'from', '% of a core', 'bytes/s', 'MB'], role.data.map(cellsOf)))
+    parts.push(table(['work', 'mechanism', 'from', '% of a core', 'bytes/s', 'MB'], role.data.map(toCells)))
   }
   return parts.join('\n\n')
 }
@@ -61,10 +61,10 @@
 }
 
 const renderInForce = (slopes: readonly Slope[]): string => {
-  const slope = slopes.find(one => one.name === 'config.inForce')
+  const slope = slopes.find(candidate => candidate.name === 'config.inForce')
   if (!slope) return ''
-  const worst = slope.intercept + slope.slope * slope.largestSize
-  return `## Configuration in force\n\nMeasured up to ${slope.largestSize} processes: ${formatFigure(worst)} ms at that size by the fitted line, ` +
+  const worstMs = slope.intercept + slope.slope * slope.largestSize
+  return `## Configuration in force\n\nMeasured up to ${slope.largestSize} processes: ${formatFigure(worstMs)} ms at that size by the fitted line, ` +
     `${formatFigure(slope.slope)} ± ${formatFigure(slope.slopeError)} ms for each further process, against ${formatFigure(Target.inForceMs)} ms. Every process reads the log itself by ` +
     'long poll, so the time is one append and one answer; the line is not carried on to 7,550 processes, since what then counts is how fast the platform\'s log ' +
     'answers that many long polls, which a stand-in cannot show.'
