--- a/scripts/bench/measureRecords.ts
+++ b/scripts/bench/measureRecords.ts
@@ -38,22 +38,22 @@
 /** Measures the time until a change is in force everywhere, and the log appends per cause. */
 export const measureRecords = async (site: Site, coldModels: readonly string[], processCount: number): Promise<readonly BenchRow[]> => {
   await sendRequest(site, MODEL, 'warm', true)
-  const idle = await countAppends(site, async () => { await sleep(timers, IDLE_MS) })
-  const cold = await countAppends(site, async () => {
+  const idleAppends = await countAppends(site, async () => { await sleep(timers, IDLE_MS) })
+  const coldStartAppends = await countAppends(site, async () => {
     for (const model of coldModels) await sendRequest(site, model, `cold ${model}`, true)
   })
-  const once = await countAppends(site, async () => {
+  const onceAppends = await countAppends(site, async () => {
     for (let index = 0; index < ONCE_COUNT; index += 1) await sendRequest(site, MODEL, `once ${index}`, false)
   })
-  const tookMs: number[] = []
-  const changes = await countAppends(site, async () => {
-    for (let index = 0; index < CHANGE_COUNT; index += 1) tookMs.push(await applyChange(site, index, processCount))
+  const durationsMs: number[] = []
+  const changeAppends = await countAppends(site, async () => {
+    for (let index = 0; index < CHANGE_COUNT; index += 1) durationsMs.push(await applyChange(site, index, processCount))
   })
   return [
-    { name: 'config.inForce', value: Math.max(...tookMs), unit: 'ms', method: `operator's call to the last of ${processCount} processes, slowest of ${CHANGE_COUNT} changes` },
-    { name: 'appends.idle', value: idle * MS_PER_SECOND / IDLE_MS, unit: 'appends/s', method: `no requests for ${IDLE_MS} ms` },
-    { name: 'appends.coldStart', value: cold / coldModels.length, unit: 'appends', method: `mean of ${coldModels.length} models loaded for their first request` },
-    { name: 'appends.onceRequest', value: once / ONCE_COUNT, unit: 'appends', method: `mean of ${ONCE_COUNT} requests that may not be repeated` },
-    { name: 'appends.change', value: changes / CHANGE_COUNT, unit: 'appends', method: `mean of ${CHANGE_COUNT} new items` }
+    { name: 'config.inForce', value: Math.max(...durationsMs), unit: 'ms', method: `operator's call to the last of ${processCount} processes, slowest of ${CHANGE_COUNT} changes` },
+    { name: 'appends.idle', value: idleAppends * MS_PER_SECOND / IDLE_MS, unit: 'appends/s', method: `no requests for ${IDLE_MS} ms` },
+    { name: 'appends.coldStart', value: coldStartAppends / coldModels.length, unit: 'appends', method: `mean of ${coldModels.length} models loaded for their first request` },
+    { name: 'appends.onceRequest', value: onceAppends / ONCE_COUNT, unit: 'appends', method: `mean of ${ONCE_COUNT} requests that may not be repeated` },
+    { name: 'appends.change', value: changeAppends / CHANGE_COUNT, unit: 'appends', method: `mean of ${CHANGE_COUNT} new items` }
   ]
 }
--- a/scripts/bench/measureRecovery.ts
+++ b/scripts/bench/measureRecovery.ts
@@ -43,14 +43,14 @@
   const sinceMark = site.rig.events.mark()
   const pendingOutcome = sendUntilEnded(() => addresses, plan, GIVE_UP_MS)
   await site.rig.events.waitFor(event => event.name === 'generateStarted' && event.detail === prompt, `a run of ${prompt}`, { sinceMark })
-  const killedMs = timers.nowMs()
+  const killedAtMs = timers.nowMs()
   await process.kill()
   const restarted = isRestarted ? process.restart() : Promise.resolve()
   const { last } = await pendingOutcome
-  const tookMs = timers.nowMs() - killedMs
+  const tookMs = timers.nowMs() - killedAtMs
   await restarted
   if (last.kind === 'answered') return { tookMs, reason: '' }
-  return { tookMs: null, reason: `; last heard: ${last.refusal?.detail ?? last.error ?? last.kind}` }
+  return { tookMs: null, reason: `; last result: ${last.refusal?.detail ?? last.error ?? last.kind}` }
 }
 
 /** Measures recovery after a kill of the engine, the agent or one of two routers, with the log available and unavailable. */
--- a/scripts/benchDecisions.ts
+++ b/scripts/benchDecisions.ts
@@ -1,3 +1,4 @@
+/** Measures the wall-clock time of each decision at growing input sizes and prints one JSON object per line. */
 import {
   accountDecayed, admitByDeadline, candidatesFromDigests, chooseFirstReady, chooseLeastCost, digestGroup, evictLeastLoss, fairAhead, keepByHistory, noFairness,
   orderByNeed, pickFairShare, spreadByDrainTime
@@ -7,7 +8,6 @@
 import type { CallerName, InstanceName, LogOffset, ModelId } from '@figmount/base'
 import type { ResidentView, RoutingCandidate, WaitingLoad, WaitingRequest } from '../packages/decisions/src/index.js'
 
-/** Measures the wall-clock time of each decision at growing input sizes and prints one JSON object per line. */
 const SIZES = [10, 100, 1_000, 7_200] as const
 const GROUPS = 8
 /** Approximate duration of one round of a measurement; the median of all rounds is reported. */
@@ -86,8 +86,8 @@
 }
 
 const report = (decision: string, sizeName: string, size: number, decide: () => unknown): void => {
-  const micros = medianMicroseconds(decide)
-  console.log(JSON.stringify({ decision, [sizeName]: size, microseconds: Math.round(micros * 100) / 100 }))
+  const durationUs = medianMicroseconds(decide)
+  console.log(JSON.stringify({ decision, [sizeName]: size, microseconds: Math.round(durationUs * 100) / 100 }))
 }
 
 const request = { remainingMs: 30_000, expectedTokens: 100, priority: 5, coldStartMs: 20_000 }
--- a/scripts/benchRecords.ts
+++ b/scripts/benchRecords.ts
@@ -76,18 +76,18 @@
   process.stdout.write(`${JSON.stringify(fields)}\n`)
 }
 
-const rounded = (value: number, digits = 1): number => Number(value.toFixed(digits))
+const roundTo = (value: number, digits = 1): number => Number(value.toFixed(digits))
 
 /** Returns the mean time of one call in microseconds, after a warm-up of a tenth of the repeats. */
 const timeUs = (repeats: number, run: (index: number) => void): number => {
   for (let index = 0; index < repeats / 10; index += 1) run(index)
   const startMs = performance.now()
   for (let index = 0; index < repeats; index += 1) run(index)
-  return rounded((performance.now() - startMs) * 1000 / repeats)
+  return roundTo((performance.now() - startMs) * 1000 / repeats)
 }
 
 const collectGarbage = (globalThis as { readonly gc?: () => void }).gc
-const heapMb = (): number => {
+const measureHeapMb = (): number => {
   collectGarbage?.()
   return process.memoryUsage().heapUsed / 1e6
 }
@@ -128,7 +128,7 @@
     agentUpAloneUs: timeSingle(restart),
     revokeAloneUs: revoke ? timeSingle(revoke) : 0,
     configSetAloneUs: timeSingle(change),
-    agentUpInBatchOf200Us: rounded(timeUs(REPEATS / 10, () => { foldRecords(state, batch) }) / batch.length)
+    agentUpInBatchOf200Us: roundTo(timeUs(REPEATS / 10, () => { foldRecords(state, batch) }) / batch.length)
   })
 }
 
@@ -147,18 +147,18 @@
     logBytes: payloads.reduce((sum, payload) => sum + payload.byteLength, 0),
     snapshotBytes: bytes.byteLength,
     chunkCount: chunks.length,
-    encodeMs: rounded(timeUs(5, () => { encodeState(state) }) / 1000),
-    decodeMs: rounded(timeUs(5, () => { decodeState(bytes) }) / 1000),
-    rebuildFromAllRecordsMs: rounded(fullMs)
+    encodeMs: roundTo(timeUs(5, () => { encodeState(state) }) / 1000),
+    decodeMs: roundTo(timeUs(5, () => { decodeState(bytes) }) / 1000),
+    rebuildFromAllRecordsMs: roundTo(fullMs)
   })
 }
 
 const measureMemory = (size: Size, bytes: Uint8Array): void => {
-  const beforeMb = heapMb()
+  const beforeMb = measureHeapMb()
   const restored = decodeState(bytes).unsafeCoerce()
-  const afterMb = heapMb()
+  const afterMb = measureHeapMb()
   report({
-    what: 'state memory', size: size.name, heapMb: rounded(afterMb - beforeMb, 2), rightCount: restored.rights.size, agentCount: restored.agents.size, itemCount: restored.items.size
+    what: 'state memory', size: size.name, heapMb: roundTo(afterMb - beforeMb, 2), rightCount: restored.rights.size, agentCount: restored.agents.size, itemCount: restored.items.size
   })
 }
 
@@ -179,8 +179,8 @@
 const measureAppends = (size: Size, state: AgreedState): void => {
   const [keysRight] = [...state.rights.values()].filter(right => right.key.kind === 'keys')
   const holder = keysRight?.holder ?? agentName(0)
-  const rightsOf = [...state.rights.values()].filter(right => right.holder === holder)
-  const keysCount = rightsOf.filter(right => right.key.kind === 'keys').length
+  const rightsOfHolder = [...state.rights.values()].filter(right => right.holder === holder)
+  const keysCount = rightsOfHolder.filter(right => right.key.kind === 'keys').length
   const draining = applyRecord(state, toPlacedRecords([toLogRecord({ kind: 'drain.set', instance: holder, draining: true, operatorName: 'operator' })], state)[0] as PlacedRecord).state
   const revokes = proposeRights(draining, listInstances(size), { mayPropose: () => true, maxCount: 10_000 }, state.asOfMs).length
   const body = configSet(size, 0, 1)
@@ -193,7 +193,7 @@
     configChangeBytes: encodeRecord(body).byteLength,
     agentRestart: 1 + keysCount,
     drain: 1 + revokes * 3,
-    rightsOfThatAgent: rightsOf.length,
+    rightsOfThatAgent: rightsOfHolder.length,
     grantBytes: encodeRecord(toLogRecord({ kind: 'right.grant', right: keysRight?.key ?? { kind: 'keys', target: 'a/b' as never }, instance: holder, incarnation: toIncarnation(0), expectedFence: 123456 })).byteLength
   })
 }
--- a/scripts/decisions/keepAliveTable.ts
+++ b/scripts/decisions/keepAliveTable.ts
@@ -17,20 +17,20 @@
 }
 
 /** All models and adapters loaded all the time: no cold starts, but more memory than the site has. */
-const alwaysOn = (deployment: Deployment): KeepRun => {
+const measureAlwaysOn = (deployment: Deployment): KeepRun => {
   const memoryMb = [...deployment.models, ...deployment.adapters].reduce((sum, item) => sum + item.memoryMb, 0)
   const idleHoursPerDay = memoryMb / deployment.runnerMemoryMb * HOURS_PER_DAY
-  const none = { useCount: 0, coldCount: 0, p95WaitMs: 0, p99WaitMs: 0, p999WaitMs: 0, meanWaitMs: 0, loadCount: 0 }
-  return { policy: `always on (needs ${(memoryMb / deployment.runnerMemoryMb).toFixed(1)} accelerators, busy time included)`, setting: '', measures: { ...none, idleHoursPerDay } }
+  const zeroMeasures = { useCount: 0, coldCount: 0, p95WaitMs: 0, p99WaitMs: 0, p999WaitMs: 0, meanWaitMs: 0, loadCount: 0 }
+  return { policy: `always on (needs ${(memoryMb / deployment.runnerMemoryMb).toFixed(1)} accelerators, busy time included)`, setting: '', measures: { ...zeroMeasures, idleHoursPerDay } }
 }
 
-const runAll = (deployment: Deployment): readonly KeepRun[] => [
+const simulateAll = (deployment: Deployment): readonly KeepRun[] => [
   ...WEIGHTS.map(weight => ({ policy: 'figmount', setting: String(weight), measures: simulateKeepAlive(deployment, byHistory(weight)) })),
   ...WEIGHTS.map(weight => ({ policy: 'without preloading', setting: String(weight), measures: simulateKeepAlive(deployment, withoutPreload(weight)) })),
   ...WEIGHTS.map(weight => ({ policy: 'hindsight', setting: String(weight), measures: simulateKeepAlive(deployment, withHindsight(weight)) })),
   ...FIXED_MINUTES.map(minutes => ({ policy: 'fixed time-out', setting: `${minutes} min`, measures: simulateKeepAlive(deployment, fixedTime(minutes * MINUTE_MS)) })),
   { policy: 'least recently used', setting: '', measures: simulateKeepAlive(deployment, leastRecent()) },
-  alwaysOn(deployment)
+  measureAlwaysOn(deployment)
 ]
 
 const seconds = (ms: number): string => (ms / 1_000).toFixed(1)
@@ -75,7 +75,7 @@
   const lines = [...TABLE_HEAD]
   const charts: Chart[] = []
   for (const deployment of [consortium(), carpatica()]) {
-    const runs = runAll(deployment)
+    const runs = simulateAll(deployment)
     lines.push(...runs.map(run => renderRow(deployment.name, run)))
     charts.push(makeChart(deployment, runs))
   }
--- a/scripts/decisions/patternTable.ts
+++ b/scripts/decisions/patternTable.ts
@@ -32,7 +32,7 @@
 ]
 const GROUP_COUNT = 4
 
-const waitOf = (candidate: RoutingCandidate): number => candidate.readyInMs + (candidate.queuedSeconds + candidate.unreportedSeconds) * 1_000
+const estimateWaitMs = (candidate: RoutingCandidate): number => candidate.readyInMs + (candidate.queuedSeconds + candidate.unreportedSeconds) * 1_000
 
 /** The least loaded member of each group: the view of a balancer that receives only the minimum per group. */
 const groupMinima = (candidates: readonly RoutingCandidate[]): readonly RoutingCandidate[] => {
@@ -40,7 +40,7 @@
   for (const candidate of candidates) {
     const group = candidate.slotIndex % GROUP_COUNT
     const best = least.get(group)
-    if (!best || waitOf(candidate) < waitOf(best)) least.set(group, candidate)
+    if (!best || estimateWaitMs(candidate) < estimateWaitMs(best)) least.set(group, candidate)
   }
   return [...least.values()]
 }
@@ -68,7 +68,7 @@
   readonly observed?: string
 }
 
-const cases = (): readonly Case[] => [
+const makeCases = (): readonly Case[] => [
   { scenario: patterns.burst(), policies: [...basePolicies, untilFull, inOrder, fixedRetry] },
   { scenario: patterns.hotCaller(), policies: [...basePolicies, inOrder, untilFull], observed: 'the others' },
   { scenario: patterns.hotPrefix(), policies: [...basePolicies, firstReady, alwaysPrefix] },
@@ -108,7 +108,7 @@
 export const makePatternTable = (): { readonly lines: readonly string[], readonly outage: readonly OutageRun[] } => {
   const lines = [...TABLE_HEAD]
   const outage: OutageRun[] = []
-  for (const { scenario, policies, observed } of cases()) {
+  for (const { scenario, policies, observed } of makeCases()) {
     for (const { name, policies: functions } of policies) {
       const result = simulate(scenario, functions)
       lines.push(renderRow(scenario.name, name, 'all', result.all))
--- a/scripts/decisionsTable.ts
+++ b/scripts/decisionsTable.ts
@@ -1,3 +1,7 @@
+/**
+ * Writes `docs/decisions/table.md` and its charts from simulations in virtual time; the output is deterministic. With
+ * `--check` it writes nothing and exits with 1 if the committed files are out of date.
+ */
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs'
 
 import { makeKeepAliveTable } from './decisions/keepAliveTable.js'
@@ -8,10 +12,6 @@
 import type { OutageRun } from './decisions/patternTable.js'
 import type { Chart } from './decisions/renderSvgChart.js'
 
-/**
- * Writes `docs/decisions/table.md` and its charts from simulations in virtual time; the output is deterministic. With
- * `--check` it writes nothing and exits with 1 if the committed files are out of date.
- */
 const DIRECTORY = 'docs/decisions'
 const BUCKET_SECONDS = 10
 
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -22,41 +22,41 @@
 
 const log = (text: string): void => { process.stdout.write(`${((timers.nowMs() - startedMs) / 1000).toFixed(1).padStart(5)} s  ${text}\n`) }
 
-const askTimed = async (site: Site, plan: RequestPlan): Promise<TimedOutcome> => {
+const sendTimed = async (site: Site, plan: RequestPlan): Promise<TimedOutcome> => {
   const startedAtMs = timers.unixMs()
   return { startedAtMs, outcome: await sendUntilEnded(site.routerAddresses, plan) }
 }
 
 const sendBurst = async (site: Site, count: number, plan: Omit<RequestPlan, 'prompt'>): Promise<readonly TimedOutcome[]> =>
-  await Promise.all(Array.from({ length: count }, async (_, index) => await askTimed(site, { ...plan, prompt: `burst ${plan.model} ${index}` })))
+  await Promise.all(Array.from({ length: count }, async (_, index) => await sendTimed(site, { ...plan, prompt: `burst ${plan.model} ${index}` })))
 
 const sendStream = async (site: Site): Promise<readonly TimedOutcome[]> =>
-  [await askTimed(site, { caller: 'inspector', service: 'reader-models', model: 'cracks', prompt: 'a long report', maxTokens: 120 })]
+  [await sendTimed(site, { caller: 'inspector', service: 'reader-models', model: 'cracks', prompt: 'a long report', maxTokens: 120 })]
 
 const sendBilledTwice = async (site: Site): Promise<readonly TimedOutcome[]> => {
   const plan = { caller: 'crew', service: 'reader-models', model: 'salt-bloom', adapter: 'tuff', prompt: 'flag and bill the west wall', repeatable: false, requestKey: randomUUID(), issuedAtMs: timers.unixMs() }
-  const first = await askTimed(site, plan)
-  return [first, await askTimed(site, plan)]
+  const first = await sendTimed(site, plan)
+  return [first, await sendTimed(site, plan)]
 }
 
 const sendSteadily = async (site: Site, caller: string, model: string, signal: AbortSignal): Promise<readonly TimedOutcome[]> => {
   const outcomes: TimedOutcome[] = []
   while (!signal.aborted) {
-    outcomes.push(await askTimed(site, { caller, service: 'reader-models', model, prompt: `steady ${model} ${outcomes.length}`, maxTokens: 16 }))
+    outcomes.push(await sendTimed(site, { caller, service: 'reader-models', model, prompt: `steady ${model} ${outcomes.length}`, maxTokens: 16 }))
     await sleep(timers, STEADY_PAUSE_MS)
   }
   return outcomes
 }
 
 /** Returns the agent of the engine that loaded the model most recently. */
-const agentWithModel = (site: Site, model: string): string => {
+const findAgentWithModel = (site: Site, model: string): string => {
   const loads = site.rig.events.all().filter(event => event.name === 'loadFinished' && event.model === model)
   return (loads.at(-1)?.instance ?? 'backend-a1').replace('backend-', '')
 }
 
 /** Starts a new instance, then lists an old one as leaving, stops it and removes it from the platform's list. */
 const replaceInstance = async (site: Site): Promise<void> => {
-  const replaced = agentWithModel(site, 'reader-models/cracks')
+  const replaced = findAgentWithModel(site, 'reader-models/cracks')
   await site.addAgent({ name: 'a4', services: ['reader-models', 'survey-app'] })
   log(`a4 has started; stopping ${replaced}, which has cracks loaded`)
   await site.list.command({ action: 'leaving', name: replaced })
@@ -66,7 +66,7 @@
   log(`${replaced} has stopped with code ${code}`)
 }
 
-const maxReplicasIn = (changes: readonly ConfigChange[]) => (modelId: string): number => {
+const createMaxReplicasLookup = (changes: readonly ConfigChange[]) => (modelId: string): number => {
   const [service, model] = modelId.split('/')
   const { models = [] } = (changes.find(change => change.name === `service/${service}`)?.body ?? {}) as { models?: ReadonlyArray<{ name: string, maxReplicas: number }> }
   return models.find(({ name }) => name === model)?.maxReplicas ?? 0
@@ -74,7 +74,7 @@
 
 const runDemo = async (site: Site): Promise<readonly TimedOutcome[]> => {
   log('a burst of 40 requests for an unloaded model at both routers, and a burst for another service')
-  const cold = await Promise.all([
+  const burstOutcomes = await Promise.all([
     sendBurst(site, 40, { caller: 'crew', service: 'reader-models', model: 'cracks' }),
     sendBurst(site, 8, { caller: 'clerk', service: 'survey-app', model: 'summary' })
   ])
@@ -87,7 +87,7 @@
   await replaceInstance(site)
   await sleep(timers, STEADY_MS)
   stopCallers.abort()
-  return [...cold, ...streamsAndBilled, ...await Promise.all(callers)].flat()
+  return [...burstOutcomes, ...streamsAndBilled, ...await Promise.all(callers)].flat()
 }
 
 const changes = readServices(SERVICES_FILE)
@@ -104,7 +104,7 @@
 try {
   await site.apply(changes)
   const outcomes = await runDemo(site)
-  const violations = printReport(outcomes, site.rig.events.all(), maxReplicasIn(changes))
+  const violations = printReport(outcomes, site.rig.events.all(), createMaxReplicasLookup(changes))
   process.stdout.write(violations.length === 0 ? '\nNo answer was lost, duplicated or wrong; no model had too many replicas.\n' : `\nBROKEN\n${violations.join('\n')}\n`)
   process.exitCode = violations.length === 0 ? 0 : 1
 } finally {
--- a/scripts/demo/printReport.ts
+++ b/scripts/demo/printReport.ts
@@ -69,7 +69,7 @@
 /** Prints the report of a run; returns the violated promises, empty if there are none. */
 export const printReport = (outcomes: readonly TimedOutcome[], events: readonly EventRecord[], maxReplicasOf: (model: string) => number): readonly string[] => {
   const findings = checkEngines(events)
-  const isOnce = new Map(outcomes.map(({ outcome: { plan } }) => [plan.prompt, plan.repeatable === false]))
+  const isNonRepeatable = new Map(outcomes.map(({ outcome: { plan } }) => [plan.prompt, plan.repeatable === false]))
   printTimeLine(events)
   printCallers(outcomes)
   printLatencies(outcomes, events)
@@ -80,6 +80,6 @@
     ...outcomes.flatMap(({ outcome }) => listAnswerFaults(outcome)),
     ...[...findings.maxReplicas].filter(([model, count]) => count > maxReplicasOf(model)).map(([model, count]) => `${model}: ${count} replicas`),
     ...findings.overcommits.map(event => `${event.instance}: ${event.memoryMb} of ${event.memoryCapacityMb} MB`),
-    ...[...findings.runCounts].filter(([prompt, count]) => count > 1 && isOnce.get(prompt)).map(([prompt, count]) => `${prompt}: ran ${count} times`)
+    ...[...findings.runCounts].filter(([prompt, count]) => count > 1 && isNonRepeatable.get(prompt)).map(([prompt, count]) => `${prompt}: ran ${count} times`)
   ]
 }
--- a/scripts/demo/readEngines.ts
+++ b/scripts/demo/readEngines.ts
@@ -19,7 +19,7 @@
 
 const isKind = (event: EventRecord, kinds: readonly EventKind[]): boolean => kinds.some(kind => kind.number === event.number)
 
-/** Pairs begin and end events; an interval without an end event ends when its process exits or with the run. */
+/** Pairs begin and end events; an interval without an end event ends when its process exits or when the run ends. */
 const pairEvents = (events: readonly EventRecord[], rule: IntervalRule): readonly ModelInterval[] => {
   const open = new Map<string, EventRecord>()
   const intervals: ModelInterval[] = []
@@ -56,8 +56,8 @@
   const engines = new Set(resident.map(interval => interval.instance))
   let idleMs = 0
   for (const engine of engines) {
-    const heldMs = coveredMs(resident.filter(interval => interval.instance === engine))
-    idleMs += heldMs - coveredMs(running.filter(interval => interval.instance === engine))
+    const residentMs = coveredMs(resident.filter(interval => interval.instance === engine))
+    idleMs += residentMs - coveredMs(running.filter(interval => interval.instance === engine))
   }
   return idleMs / 1000
 }
--- a/scripts/experiment.ts
+++ b/scripts/experiment.ts
@@ -6,7 +6,7 @@
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs'
 
 import { checkStandinTokens, parseExperiment, runExperiment } from '@figmount/load'
-import { reportTable, renderReport } from '../packages/load/src/report/renderReport.js'
+import { makeReportTable, renderReport } from '../packages/load/src/report/renderReport.js'
 import { measureAccelerators } from './experiments/measureAccelerators.js'
 import { DEPLOYMENTS } from './experiments/deployments.js'
 
@@ -40,7 +40,7 @@
   })
   const allEvents = orderEvents([...site.rig.events.all(), ...loadEvents])
   const verdict = checkPromises(allEvents)
-  const { headings, rows } = reportTable(figures)
+  const { headings, rows } = makeReportTable(figures)
   process.stdout.write(`${renderTable(headings, rows)}\n\n${JSON.stringify(measureAccelerators(allEvents))}\n`)
   for (const traffic of figures.traffic) process.stdout.write(`${traffic.name}: refusals ${JSON.stringify(traffic.refusalsByReason)}\n`)
   for (const [promise, count] of Object.entries(verdict.caseCounts)) process.stdout.write(`${promise}: ${count} cases, ${verdict.violations.filter(violation => violation.promise === promise).length} broken\n`)
--- a/scripts/experiments/deployments.ts
+++ b/scripts/experiments/deployments.ts
@@ -104,7 +104,7 @@
   changes: [...shape.callerKinds.map(kind => callerItem(kind, kind)), ...shape.services.map(configOf(shape))]
 })
 
-/** Deployments by name, which is also that of the experiment file. */
+/** Deployments by name; the experiment file of each is `experiments/NAME.ini`. */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = {
   consortium: makeDeployment(CONSORTIUM),
   carpatica: makeDeployment(CARPATICA)
--- a/scripts/experiments/measureAccelerators.ts
+++ b/scripts/experiments/measureAccelerators.ts
@@ -8,7 +8,7 @@
   readonly loadSeconds: number
   /** Time during which models were resident, summed over replicas. */
   readonly residentSeconds: number
-  /** The part of it during which the replica ran nothing. */
+  /** The part of `residentSeconds` during which the replica ran nothing. */
   readonly idleSeconds: number
   readonly slowestLoadMs: number
 }
