--- a/packages/standin/src/control/createFaultInjector.ts
+++ b/packages/standin/src/control/createFaultInjector.ts
@@ -23,9 +23,9 @@
 
 /** Creates a fault injector without any fault set. */
 export const createFaultInjector = (timers: TimerService): FaultInjector => {
-  let outage = false
+  let hasOutage = false
   let delayMs = 0
-  let paused = false
+  let isPaused = false
   const pausedCalls = new Set<() => void>()
 
   const resumeCalls = (): void => {
@@ -35,7 +35,7 @@
   }
 
   const waitWhilePaused = async (): Promise<void> => {
-    if (!paused) return
+    if (!isPaused) return
     await new Promise<void>(resolve => { pausedCalls.add(resolve) })
     await waitWhilePaused()
   }
@@ -44,14 +44,14 @@
     applyFaults: async () => {
       if (delayMs > 0) await sleep(timers, delayMs)
       await waitWhilePaused()
-      if (outage) throw new ConnectError('outage', Code.Unavailable)
+      if (hasOutage) throw new ConnectError('outage', Code.Unavailable)
     },
     run: command => {
-      if (command.action === 'outage') outage = command.on
+      if (command.action === 'outage') hasOutage = command.on
       if (command.action === 'slow') delayMs = command.delayMs
-      if (command.action === 'pause') paused = command.on
+      if (command.action === 'pause') isPaused = command.on
       resumeCalls()
     },
-    state: () => ({ outage, delayMs, paused })
+    state: () => ({ outage: hasOutage, delayMs, paused: isPaused })
   }
 }
--- a/packages/standin/src/proxy/startProxy.ts
+++ b/packages/standin/src/proxy/startProxy.ts
@@ -52,14 +52,14 @@
   const { settings, timers, events, metrics } = context
   const connections = new Set<Connection>()
   let target = settings.target
-  let refuse = false
+  let isRefusing = false
   let newUpFault: Fault = { kind: 'none' }
   let newDownFault: Fault = { kind: 'none' }
   let openedCount = 0
 
   const accept = (inbound: Socket): void => {
     inbound.on('error', () => {})
-    if (refuse || target === '') {
+    if (isRefusing || target === '') {
       inbound.resetAndDestroy()
       return
     }
@@ -104,12 +104,12 @@
     events.emit(StandinEvent.faultSet, { peer: target, detail: JSON.stringify(command) })
     if (command.action === 'fault') setFault(command)
     if (command.action === 'cut') cut()
-    if (command.action === 'refuse') refuse = command.on
+    if (command.action === 'refuse') isRefusing = command.on
     if (command.action === 'target') target = command.target
     return { openCount: connections.size }
   }
 
-  const dump = (): unknown => ({ target, refuse, openCount: connections.size, openedCount })
+  const dump = (): unknown => ({ target, refuse: isRefusing, openCount: connections.size, openedCount })
   const control = await serveRpc({
     host: context.host, port: settings.control_port, metrics, routes: () => {}, handlePlain: handleControl({ dump, run })
   })
--- a/scripts/bench/measureAll.ts
+++ b/scripts/bench/measureAll.ts
@@ -14,7 +14,7 @@
 import type { BenchRow } from './types.js'
 
 const COLD_MODELS = ['c1', 'c2', 'c3'] as const
-/** Routers of the site for agreement and recovery, which also has one agent. */
+/** Routers of the site on which log appends and recovery are measured; the site also has one agent. */
 const ROUTERS = ['r1', 'r2'] as const
 const READY_MS = 30_000
 
@@ -64,7 +64,7 @@
 }
 
 /** Measures log appends and recovery with two routers and one agent. */
-const measureAgreement = async (site: Site): Promise<readonly BenchRow[]> => {
+const measureLogAndRecovery = async (site: Site): Promise<readonly BenchRow[]> => {
   const processCount = ROUTERS.length + 1
   const records = await timed('records', async () => await measureRecords(site, COLD_MODELS, processCount))
   return [...records, ...await timed('recovery', async () => await measureRecovery(site))]
@@ -73,6 +73,6 @@
 /** Runs all measurements, one after another so that they do not disturb each other. */
 export const measureAll = async (): Promise<readonly BenchRow[]> => {
   const path = await withSite(startSite('bench-path', ['r1'], [MODEL]), measurePath)
-  const agreement = await withSite(startSite('bench-agreement', ROUTERS, [MODEL, ...COLD_MODELS]), measureAgreement)
-  return [...path, ...agreement]
+  const logAndRecovery = await withSite(startSite('bench-agreement', ROUTERS, [MODEL, ...COLD_MODELS]), measureLogAndRecovery)
+  return [...path, ...logAndRecovery]
 }
--- a/scripts/bench/measureStarts.ts
+++ b/scripts/bench/measureStarts.ts
@@ -18,7 +18,7 @@
 const timers = createTimerService()
 const runFile = promisify(execFile)
 
-const medianMs = async (prepare: () => Promise<unknown>, start: () => Promise<unknown>): Promise<number> => {
+const measureMedianMs = async (prepare: () => Promise<unknown>, start: () => Promise<unknown>): Promise<number> => {
   const quantiles = createQuantiles()
   for (let index = 0; index < START_COUNT; index += 1) {
     await prepare()
@@ -29,24 +29,24 @@
   return quantiles.atMs(MEDIAN)
 }
 
-const processRows = async (name: string, process: RigProcess): Promise<readonly BenchRow[]> => [
+const measureProcess = async (name: string, process: RigProcess): Promise<readonly BenchRow[]> => [
   { name: `memory.${name}`, value: residentMbOf(process.pid()), unit: 'MB', method: 'resident, after the requests of this run' },
-  { name: `start.${name}`, value: await medianMs(process.kill, process.restart), unit: 'ms', method: `spawn to processStarted, median of ${START_COUNT}` }
+  { name: `start.${name}`, value: await measureMedianMs(process.kill, process.restart), unit: 'ms', method: `spawn to processStarted, median of ${START_COUNT}` }
 ]
 
-const toolRow = async (name: string): Promise<BenchRow> => ({
+const measureTool = async (name: string): Promise<BenchRow> => ({
   name: `start.${name}`,
-  value: await medianMs(async () => {}, async () => await runFile(process.execPath, [`${DIST}/${name}.mjs`, '--version'])),
+  value: await measureMedianMs(async () => {}, async () => await runFile(process.execPath, [`${DIST}/${name}.mjs`, '--version'])),
   unit: 'ms',
   method: `spawn to exit of --version, median of ${START_COUNT}`
 })
 
-const sizeRows = (): readonly BenchRow[] => readdirSync(DIST).sort().map(file =>
+const measureSizes = (): readonly BenchRow[] => readdirSync(DIST).sort().map(file =>
   ({ name: `size.${file}`, value: statSync(`${DIST}/${file}`).size / BYTES_PER_KB, unit: 'KB', method: `size of ${DIST}/${file}` }))
 
 /** Measures startup time and resident memory of router and agent, startup time of the tools, and bundle sizes. */
 export const measureStarts = async (site: Site): Promise<readonly BenchRow[]> => {
-  const rows = [...await processRows('figmount-router', site.router('r1')), ...await processRows('figmount-agent', site.agent('a1'))]
-  for (const name of TOOLS) rows.push(await toolRow(name))
-  return [...rows, ...sizeRows()]
+  const rows = [...await measureProcess('figmount-router', site.router('r1')), ...await measureProcess('figmount-agent', site.agent('a1'))]
+  for (const name of TOOLS) rows.push(await measureTool(name))
+  return [...rows, ...measureSizes()]
 }
--- a/scripts/demo/printReport.ts
+++ b/scripts/demo/printReport.ts
@@ -2,7 +2,7 @@
 import { checkEngines, listAnswerFaults } from '@figmount/proof'
 
 import { overlaps } from './intervals.js'
-import { idleAcceleratorSeconds, loadIntervals } from './readEngines.js'
+import { sumIdleSeconds, findLoadIntervals } from './readEngines.js'
 
 import type { EventRecord } from '@figmount/base'
 import type { RequestOutcome } from '@figmount/proof'
@@ -46,7 +46,7 @@
 }
 
 const printLatencies = (outcomes: readonly TimedOutcome[], events: readonly EventRecord[]): void => {
-  const loads = loadIntervals(events)
+  const loads = findLoadIntervals(events)
   const isCold = ({ outcome, startedAtMs }: TimedOutcome): boolean => loads.some(load =>
     load.model === `${outcome.plan.service}/${outcome.plan.model}` &&
     overlaps(load, { fromMs: startedAtMs, toMs: startedAtMs + firstTokenMs(outcome) }))
@@ -75,7 +75,7 @@
   printLatencies(outcomes, events)
   const loadCount = [...findings.loadCounts.values()].reduce((sum, count) => sum + count, 0)
   write(`\nLoads ${loadCount}: ${[...findings.loadCounts].map(([model, count]) => `${model} ${count}`).join(', ')}`)
-  write(`Idle accelerator seconds ${idleAcceleratorSeconds(events).toFixed(1)}`)
+  write(`Idle accelerator seconds ${sumIdleSeconds(events).toFixed(1)}`)
   return [
     ...outcomes.flatMap(({ outcome }) => listAnswerFaults(outcome)),
     ...[...findings.maxReplicas].filter(([model, count]) => count > maxReplicasOf(model)).map(([model, count]) => `${model}: ${count} replicas`),
--- a/scripts/demo/readEngines.ts
+++ b/scripts/demo/readEngines.ts
@@ -45,12 +45,12 @@
 const streamKey = (event: EventRecord): string => `${event.instance} ${event.attemptId}`
 
 /** Returns the intervals of all loads; one that has not ended lasts until its process exits or the run ends. */
-export const loadIntervals = (events: readonly EventRecord[]): readonly ModelInterval[] => pairEvents(events, {
+export const findLoadIntervals = (events: readonly EventRecord[]): readonly ModelInterval[] => pairEvents(events, {
   begins: [StandinEvent.loadStarted], ends: [StandinEvent.loadFinished, StandinEvent.loadFailed], keyOf: modelKey
 })
 
 /** Returns the seconds during which a model was resident on an engine and nothing ran there, summed over all engines. */
-export const idleAcceleratorSeconds = (events: readonly EventRecord[]): number => {
+export const sumIdleSeconds = (events: readonly EventRecord[]): number => {
   const resident = pairEvents(events, { begins: [StandinEvent.loadFinished], ends: [StandinEvent.modelUnloaded], keyOf: modelKey })
   const running = pairEvents(events, { begins: [StandinEvent.generateStarted], ends: [StandinEvent.generateFinished, StandinEvent.generateEnded], keyOf: streamKey })
   const engines = new Set(resident.map(interval => interval.instance))
--- a/scripts/experiment.ts
+++ b/scripts/experiment.ts
@@ -32,8 +32,8 @@
   const slotCount = deployment.changes.flatMap(change => (change.body as { models?: ReadonlyArray<{ maxReplicas: number }> }).models ?? [])
     .reduce((sum, model) => sum + model.maxReplicas, 0)
   await site.rig.waitUntil('every slot to be granted', async () => {
-    const granted = site.rig.events.all().filter(event => event.name === 'proposalMade').length
-    return await Promise.resolve(granted >= slotCount)
+    const grantedCount = site.rig.events.all().filter(event => event.name === 'proposalMade').length
+    return await Promise.resolve(grantedCount >= slotCount)
   }, READY_MS)
   const figures = await runExperiment({ ...experiment, routers: site.routerAddresses() }, {
     timers, events, checkTokens: checkStandinTokens, onProgress: progress => { process.stderr.write(`${progress.endedCount} requests ended of ${progress.sentCount} sent\n`) }, signal: new AbortController().signal
