--- a/scripts/demo/readEngines.ts
+++ b/scripts/demo/readEngines.ts
@@ -19,7 +19,7 @@
 
 const isKind = (event: EventRecord, kinds: readonly EventKind[]): boolean => kinds.some(kind => kind.number === event.number)
 
-/** Pairs begin and end events; an interval without an end event ends when its process exits or with the run. */
+/** Pairs begin and end events; an interval without an end event ends when its process exits or when the run ends. */
 const pairEvents = (events: readonly EventRecord[], rule: IntervalRule): readonly ModelInterval[] => {
   const open = new Map<string, EventRecord>()
   const intervals: ModelInterval[] = []
@@ -45,19 +45,19 @@
 const streamKey = (event: EventRecord): string => `${event.instance} ${event.attemptId}`
 
 /** Returns the intervals of all loads; one that has not ended lasts until its process exits or the run ends. */
-export const loadIntervals = (events: readonly EventRecord[]): readonly ModelInterval[] => pairEvents(events, {
+export const findLoadIntervals = (events: readonly EventRecord[]): readonly ModelInterval[] => pairEvents(events, {
   begins: [StandinEvent.loadStarted], ends: [StandinEvent.loadFinished, StandinEvent.loadFailed], keyOf: modelKey
 })
 
 /** Returns the seconds during which a model was resident on an engine and nothing ran there, summed over all engines. */
-export const idleAcceleratorSeconds = (events: readonly EventRecord[]): number => {
+export const sumIdleSeconds = (events: readonly EventRecord[]): number => {
   const resident = pairEvents(events, { begins: [StandinEvent.loadFinished], ends: [StandinEvent.modelUnloaded], keyOf: modelKey })
   const running = pairEvents(events, { begins: [StandinEvent.generateStarted], ends: [StandinEvent.generateFinished, StandinEvent.generateEnded], keyOf: streamKey })
   const engines = new Set(resident.map(interval => interval.instance))
   let idleMs = 0
   for (const engine of engines) {
-    const heldMs = coveredMs(resident.filter(interval => interval.instance === engine))
-    idleMs += heldMs - coveredMs(running.filter(interval => interval.instance === engine))
+    const residentMs = coveredMs(resident.filter(interval => interval.instance === engine))
+    idleMs += residentMs - coveredMs(running.filter(interval => interval.instance === engine))
   }
   return idleMs / 1000
 }
--- a/scripts/experiment.ts
+++ b/scripts/experiment.ts
@@ -6,7 +6,7 @@
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs'
 
 import { checkStandinTokens, parseExperiment, runExperiment } from '@figmount/load'
-import { reportTable, renderReport } from '../packages/load/src/report/renderReport.js'
+import { makeReportTable, renderReport } from '../packages/load/src/report/renderReport.js'
 import { measureAccelerators } from './experiments/measureAccelerators.js'
 import { DEPLOYMENTS } from './experiments/deployments.js'
 
@@ -32,15 +32,15 @@
   const slotCount = deployment.changes.flatMap(change => (change.body as { models?: ReadonlyArray<{ maxReplicas: number }> }).models ?? [])
     .reduce((sum, model) => sum + model.maxReplicas, 0)
   await site.rig.waitUntil('every slot to be granted', async () => {
-    const granted = site.rig.events.all().filter(event => event.name === 'proposalMade').length
-    return await Promise.resolve(granted >= slotCount)
+    const grantedCount = site.rig.events.all().filter(event => event.name === 'proposalMade').length
+    return await Promise.resolve(grantedCount >= slotCount)
   }, READY_MS)
   const figures = await runExperiment({ ...experiment, routers: site.routerAddresses() }, {
     timers, events, checkTokens: checkStandinTokens, onProgress: progress => { process.stderr.write(`${progress.endedCount} requests ended of ${progress.sentCount} sent\n`) }, signal: new AbortController().signal
   })
   const allEvents = orderEvents([...site.rig.events.all(), ...loadEvents])
   const verdict = checkPromises(allEvents)
-  const { headings, rows } = reportTable(figures)
+  const { headings, rows } = makeReportTable(figures)
   process.stdout.write(`${renderTable(headings, rows)}\n\n${JSON.stringify(measureAccelerators(allEvents))}\n`)
   for (const traffic of figures.traffic) process.stdout.write(`${traffic.name}: refusals ${JSON.stringify(traffic.refusalsByReason)}\n`)
   for (const [promise, count] of Object.entries(verdict.caseCounts)) process.stdout.write(`${promise}: ${count} cases, ${verdict.violations.filter(violation => violation.promise === promise).length} broken\n`)
