--- a/packages/agent/src/agent/createAdmission.ts
+++ b/packages/agent/src/agent/createAdmission.ts
@@ -35,6 +35,7 @@
   readonly isAnnounced: () => boolean
 }
 
+/** A start as sent by a router, with the permit that the router obtained from the holder of the `keys` right, if any. */
 export interface Start {
   readonly attemptId: AttemptId
   readonly request: RunRequest
@@ -67,8 +68,8 @@
   /** Refuses while the agent has not read the agreed state, or is not announced and would have to load. */
   const refusalByReadiness = (attempt: Pick<Attempt, 'request'>): RefusalNote | undefined => {
     if (!options.isReady()) return notRun({ reason: RefusalReason.UNAVAILABLE, detail: 'the agent has just started', step: 'agent.start', peer: instance })
-    // Without the check of canStart, every agent that restarts during a log outage would serve nothing. Its engine
-    // already held these models before the restart, so serving them adds no replica.
+    // An agent that restarts during a log outage can't be announced, but may serve the models that its engine holds:
+    // they were loaded before the restart, so serving them adds no replica. Otherwise it would serve nothing.
     if (!options.isAnnounced() && !backend.canStart(attempt)) {
       return notRun({ reason: RefusalReason.UNAVAILABLE, detail: 'the agent may not load before the log has named it', step: 'agent.start', peer: instance })
     }
@@ -121,7 +122,7 @@
     if (!isForThisAgent || !isForRequest) {
       return mayHaveRun({ reason: RefusalReason.ANSWER_LOST, detail: 'the permit is for another run', step: 'once.permit', peer: instance, retryAfterMs: 0 })
     }
-    // The holder may have forgotten a permit that was in transit for longer than the window.
+    // A permit that was in transit for longer than MAX_KEY_AGE_MS may already have been removed from its holder's ledger.
     if (request.issuedAtMs < timers.unixMs() - MAX_KEY_AGE_MS) {
       return notRunUnlessResent(request)({ reason: RefusalReason.KEY_EXPIRED, detail: 'the key is too old', step: 'once.permit', peer: instance, retryAfterMs: 0 })
     }
--- a/packages/agent/src/agent/createAgent.test.ts
+++ b/packages/agent/src/agent/createAgent.test.ts
@@ -70,7 +70,7 @@
     expect(engine.residents().map(({ model, state }) => [model, state])).to.deep.equal([[MODEL, 'ready']])
   })
 
-  it('unloads on start the models that it has no right for', async () => {
+  it('unloads models that it has no right for when it starts', async () => {
     const under = await startAgentForTest()
     under.grant(replica)
     under.connect().start('a')
--- a/packages/agent/src/agent/createDispatcher.ts
+++ b/packages/agent/src/agent/createDispatcher.ts
@@ -67,7 +67,7 @@
 /** Starts queued attempts when the backend server has capacity, and follows their runs to the end. */
 export interface Dispatcher {
   readonly pump: () => void
-  /** Schedules one pump for the next turn of the event loop; repeated calls are merged. */
+  /** Schedules a check of the queue for runs to start, in the next turn of the event loop; repeated calls are merged. */
   readonly schedulePump: () => void
   readonly running: () => readonly Attempt[]
   readonly runningCount: () => number
@@ -94,8 +94,8 @@
   const running = (): readonly Attempt[] => [...runs.values()].map(run => run.attempt)
 
   const updateTokenInterval = (intervalMs: number): void => {
-    // The first measurement replaces the assumed interval. Smoothed out instead, the assumption made a fast server
-    // refuse requests for a minute.
+    // The first measurement replaces the assumed interval. If the two are averaged instead, a fast server refuses
+    // requests for a minute, until the assumption has lost its weight.
     const weight = hasMeasuredInterval ? INTERVAL_SMOOTHING : 1
     hasMeasuredInterval = true
     tokenIntervalMs += weight * (intervalMs - tokenIntervalMs)
@@ -186,7 +186,7 @@
     const end = await task.catch((error: Error): RunEnd =>
       ({ kind: 'interrupted', fault: makeFault(FaultKind.Internal, 'running.follow', instance, error.message), died: false, incarnation: '' }))
     finish(run, end)
-    // The prefill is counted in token intervals, and for the first run the interval is only known at its end.
+    // The time to the first token is recorded in token intervals; the first run's interval is known only after it has ended.
     if (prefillMs !== undefined && hasMeasuredInterval) estimates.notePrefill(prefillMs / tokenIntervalMs)
     runs.delete(attempt.id)
     queue.account(attempt, attempt.tokenCount - attempt.request.doneTokens.length - run.accountedTokens)
--- a/packages/agent/src/agent/createEngineBackend.ts
+++ b/packages/agent/src/agent/createEngineBackend.ts
@@ -131,7 +131,7 @@
       runInBackground(events, 'engine.inventory', watch.refresh())
     },
     plan: () => {
-      // Before its own announcement is read back the agent sees no rights, and would unload every loaded model.
+      // Before the agent has read back its own announcement it may see no rights, and would unload every loaded model.
       if (!watch.isUp() || !isAnnounced(context)) return
       loader.plan({
         rights: rights().slots,
--- a/packages/agent/src/attempts/attempts.test.ts
+++ b/packages/agent/src/attempts/attempts.test.ts
@@ -46,7 +46,7 @@
     expect(framesOf(again)[0]).to.equal(seen)
   })
 
-  it('are unknown after they were acknowledged or never seen', async () => {
+  it('are unknown if all their frames were acknowledged or the agent never had them', async () => {
     const { under, router } = await started()
     router.start('a')
     await under.advance(400)
--- a/packages/agent/src/authority/authority.test.ts
+++ b/packages/agent/src/authority/authority.test.ts
@@ -51,7 +51,7 @@
     expect(router.finalOf('a')?.tokenCount).to.equal(3)
   })
 
-  it('stops loading when the list no longer names it and the log is unreachable', async () => {
+  it('does not load while the list lacks its instance and the log is unreachable', async () => {
     const under = await startAgentForTest()
     under.grant({ kind: 'replica', target: MODEL, slotIndex: 0 })
     under.log.isUp = false
--- a/packages/agent/src/authority/judgeAuthority.ts
+++ b/packages/agent/src/authority/judgeAuthority.ts
@@ -19,11 +19,11 @@
 /**
  * Decides whether the agent may act on its rights.
  *
- * A holder that was paused or partitioned while its right was granted to another agent would load one replica too
- * many. Its last confirmed read is then older than AUTHORITY_MS. Within that time no other agent can have been granted
- * the right, because a void is followed by a longer wait of log time. While the log is unreachable no process can append
- * a void, so the holder of a replica may continue. The outage counts as confirmed only after the process has run long
- * enough for a read sent after a pause to succeed or fail.
+ * Guards against one replica too many, loaded by a holder that was paused or partitioned while its right was granted to
+ * another agent. Until AUTHORITY_MS after the last confirmed read no other agent can have been granted the right, because
+ * more log time than that (VOID_GRANT_DELAY_MS) must pass between a void and the next grant. While the log is unreachable
+ * no process can append a void, so the holder of a replica right may continue. The outage counts as confirmed only after
+ * the process has run long enough for a read sent after a pause to succeed or fail.
  */
 export const judgeAuthority = (view: AuthorityView): Authority => {
   if (view.nowMs - view.confirmedAtMs < AUTHORITY_MS) return 'fresh'
--- a/packages/agent/src/leaving/createDrain.ts
+++ b/packages/agent/src/leaving/createDrain.ts
@@ -81,8 +81,8 @@
     finish: async () => {
       isStopping = true
       update()
-      // The list may have marked the instance as leaving just before the stop. By the listing read seconds ago this
-      // would be a restart, and rights that are not released wait half a minute for a void.
+      // The list may have marked the instance as leaving just before the stop. A listing read seconds earlier would not
+      // show it, so the stop would look like a restart, and unreleased rights would wait half a minute for a void.
       const refreshed = options.refreshListing()
       if (await waitFor(options.isIdle, settings.limits.drain_ms)) {
         events.emit(AgentEvent.drainEmpty)
--- a/packages/agent/src/links/createStartHold.ts
+++ b/packages/agent/src/links/createStartHold.ts
@@ -46,7 +46,8 @@
 
   const release = ({ start: { attemptId, request, ...rest }, subscriber, sinceMs }: HeldStart): void => {
     held.delete(attemptId)
-    // A router whose link has ended resumes on a new one and is told that the attempt is unknown, so it must not run.
+    // A router whose link has ended resumes the attempt on a new link and is answered `unknown`. It may then run the
+    // attempt elsewhere, so the attempt must not run here.
     if (!subscriber.isOpen()) return
     const remainingMs = Math.max(0, request.remainingMs - (timers.nowMs() - sinceMs))
     start({ ...rest, attemptId, request: { ...request, remainingMs } }, subscriber)
--- a/packages/agent/src/loading/createLoader.ts
+++ b/packages/agent/src/loading/createLoader.ts
@@ -93,7 +93,7 @@
       highestPriority: demand?.highestPriority ?? 0,
       refusedCount: state.store.failureCount,
       waitedMs: demand ? nowMs - demand.askedAtMs : 0,
-      // An assumed duration must not delay the load for longer than the load itself may take.
+      // The backoff grows with the load's duration. An assumption that is too long would delay a load for longer than it takes.
       loadMs: state.typicalLoadMs > 0 ? expectedLoadMs(state, slot) : UNMEASURED_LOAD_MS
     }
     const waitMs = backOffLoad(view, random)
--- a/packages/agent/src/loading/loading.test.ts
+++ b/packages/agent/src/loading/loading.test.ts
@@ -83,8 +83,8 @@
     expect(kinds(under)).to.deep.equal([`load ${MODEL}`])
   })
 
-  // The order never reaches the engine. Abandoned too early, its memory could be reserved for another model while the
-  // order is still in transit; never abandoned, the model would stay cold.
+  // The order never reaches the engine. If it were abandoned too early, its memory could be reserved for another model
+  // while the order is still in transit; if it were never abandoned, the model would stay cold.
   it('repeats a lost order, but not before its deadline', async () => {
     const under = await startAgentForTest()
     let count = 0
@@ -130,8 +130,8 @@
     expect(waits).to.deep.equal([500, 1000, 2000])
   })
 
-  // An operator changes the version while the old one runs. Loaded beside the old version, the new one would exceed the
-  // configured replicas; unloaded at once, the old one would interrupt the running request.
+  // An operator changes the version while a request runs on the old one. Loading the new version beside the old one would
+  // exceed the configured replicas; unloading the old one at once would interrupt the request.
   it('unloads the old version before it loads the new one', async () => {
     const under = await startAgentForTest()
     under.grant(replicaOf(MODEL))
--- a/packages/agent/src/loading/planOrders.ts
+++ b/packages/agent/src/loading/planOrders.ts
@@ -223,7 +223,7 @@
     const victims = planEvictions(view, state, neededMb)
     if (!victims) continue
     for (const victim of victims) open(victim)
-    // The freed memory is reserved for this load: smaller loads behind it would otherwise keep taking it.
+    // No later load is opened in this round: smaller ones would keep taking the memory that is being freed for this one.
     break
   }
   return { orders, state }
--- a/packages/agent/src/once/constants.ts
+++ b/packages/agent/src/once/constants.ts
@@ -1,4 +1,4 @@
-/** Retry-after of a refusal that only time resolves; the log is read about once a second. */
+/** Retry-after of a refusal whose cause passes without action by the caller; the log is normally read at least once a second. */
 export const PERMIT_RETRY_MS = 1_000
 
 /** Period at which expired keys are removed. */
--- a/packages/agent/src/once/createPermitLedger.ts
+++ b/packages/agent/src/once/createPermitLedger.ts
@@ -30,7 +30,7 @@
   readonly executorIncarnation: Incarnation
 }
 
-/** The permits granted by the holder of `keys` rights, stored for MAX_KEY_AGE_MS. */
+/** The permits granted by the holder of `keys` rights, stored for KEY_RETENTION_MS: until any resend is refused as too old. */
 export interface PermitLedger {
   readonly ask: (ask: PermitRequest) => PermitReply
   /** Withdraws a permit under which nothing ran; ignored if the key belongs to another attempt. */
@@ -56,7 +56,7 @@
       keysHolder: instance,
       keysFence: keys.fence
     }
-    // By then a resend is refused as too old, even if the clock is set back within its error bound.
+    // When the entry is removed, a resend is refused as too old, even if the clock was set back within its error bound.
     entries.set(key, { permit, target, forgetAtUnixMs: Math.max(request.issuedAtMs, timers.unixMs()) + KEY_RETENTION_MS })
     return permit
   }
--- a/packages/agent/src/once/judgePermit.ts
+++ b/packages/agent/src/once/judgePermit.ts
@@ -35,7 +35,8 @@
     return refuse(notRunUnlessResent(view), RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the holder of the keys is not sure of its right')
   }
   if (view.authority === 'outage') {
-    // A void requires that the list has dropped the holder: while the list contains it there is no successor.
+    // Rights are voided only after the list has dropped their holder. While the list still contains this holder, no
+    // successor can have been granted the right.
     const runState = view.isListed ? RunState.NOT_RUN : notRunUnlessResent(view)
     return refuse(runState, RefusalReason.LOG_UNREACHABLE, PERMIT_RETRY_MS, 'the log is out of reach')
   }
--- a/packages/agent/src/once/once.test.ts
+++ b/packages/agent/src/once/once.test.ts
@@ -133,8 +133,8 @@
     expect(router.finalOf('b')?.tokenCount).to.equal(3)
   })
 
-  // The holder restarts with an empty ledger. A key that its earlier run permitted is sent again; treated as new, the
-  // request would run a second time.
+  // The holder restarts with an empty ledger, and a key that its earlier run permitted is sent again. If the key were
+  // treated as new, the request would run a second time.
   it('renews its tenure after a restart', async () => {
     const { under, router } = await holder()
     router.start('a', once({ requestKey: 'old' as RequestKey }))
--- a/packages/agent/src/queueing/constants.ts
+++ b/packages/agent/src/queueing/constants.ts
@@ -1,4 +1,4 @@
-/** Assumed time between tokens before the first measurement; the target for 95 in 100. */
+/** Assumed time between tokens before the first measurement: the target that 95 in 100 intervals have to meet. */
 export const ASSUMED_TOKEN_INTERVAL_MS = 66
 
 /** Weight of a new measurement in the smoothed time between tokens. */
--- a/packages/agent/src/queueing/createEstimates.ts
+++ b/packages/agent/src/queueing/createEstimates.ts
@@ -71,8 +71,8 @@
     boundTokens: tokensBy(upperBound),
     noteAnswer: ({ model, maxTokens }, tokenCount) => {
       served = increment(served)
-      // An answer cut off at `maxTokens` only shows that the length is at least that. Counted as the full length, one
-      // short limit would make long requests look short, and more would be admitted than finish before their deadlines.
+      // An answer cut off at `maxTokens` only shows that the length is at least that. If it counted as a full answer, a
+      // low limit would make long answers look short, and more requests would be admitted than finish in time.
       const known = tokens.get(model)
       if (tokenCount >= maxTokens && tokenCount <= (known?.mean ?? Number.POSITIVE_INFINITY)) return
       if (tokens.size >= MAX_MODELS && !known) tokens.clear()
--- a/packages/agent/src/queueing/createLoadRequests.ts
+++ b/packages/agent/src/queueing/createLoadRequests.ts
@@ -27,7 +27,7 @@
  * Without it, a model whose load takes longer, or is assumed to take longer, than its callers' deadlines is never
  * served: every request is refused before the load begins, none is queued, so nothing is loaded and the assumption is
  * never corrected. Callers would retry indefinitely.
- * The refusal stays immediate; the load goes on without it and the resend finds the model ready.
+ * The refusal stays immediate; the load is ordered all the same and the resend finds the model ready.
  */
 export const createLoadRequests = (timers: TimerService): LoadRequests => {
   const requests = new Map<ModelId, LoadRequest>()
--- a/packages/agent/src/queueing/queueing.test.ts
+++ b/packages/agent/src/queueing/queueing.test.ts
@@ -78,7 +78,7 @@
     expect(under.engine.runs.indexOf('high')).to.be.below(under.engine.runs.indexOf('low'))
   })
 
-  // One caller sends far more than the others. In order of arrival, all others would wait behind it.
+  // One caller sends far more than the others. If requests were served in order of arrival, all others would wait behind it.
   it('does not let a busy caller delay another', async () => {
     const { under, router } = await ready()
     for (let index = 0; index < 30; index += 1) router.start(`hot${index}`, { caller: 'hot' as CallerName, tenant: 'a', prompt: `hot${index}`, maxTokens: 20 })
@@ -101,8 +101,8 @@
     expect(router.finalOf('quiet')).to.not.equal(undefined)
   })
 
-  // The engine becomes slow after a request was admitted. Started anyway, the request would occupy a batch slot until
-  // its deadline and be cut off there, and its caller would be refused only then.
+  // The engine becomes slow after a request was admitted. If the request were started anyway, it would occupy a batch slot
+  // until it is cut off at its deadline, and its caller would be refused only then.
   it('sheds requests that can no longer finish in time, before they run', async () => {
     const { under, router } = await ready()
     for (let index = 0; index < 4; index += 1) router.start(`busy${index}`, { prompt: `busy${index}`, maxTokens: 30 })
--- a/packages/agent/src/suspects/constants.ts
+++ b/packages/agent/src/suspects/constants.ts
@@ -7,5 +7,5 @@
 /** Maximum number of fingerprints with recent deaths. */
 export const MAX_RECENT_SUSPECTS = 1_000
 
-/** Maximum number of recent deaths of one fingerprint; two convict. */
+/** Maximum number of recent deaths of one fingerprint; two are enough for a conviction. */
 export const MAX_RECENT_DEATHS = 4
--- a/packages/agent/src/suspects/suspects.test.ts
+++ b/packages/agent/src/suspects/suspects.test.ts
@@ -77,7 +77,7 @@
     expect(router.finalOf('y')?.tokenCount).to.equal(3)
   })
 
-  it('count when a peer reports them before the log', async () => {
+  it('count as soon as a peer reports them, before the log does', async () => {
     const { under, router } = await ready()
     router.send({ type: 'suspect', fingerprints: ['s'], deathId: 'agent-9/e1', instance: 'agent-9' as InstanceName })
     router.start('long', { prompt: 'long', maxTokens: 60 })
