--- a/packages/records/src/config/applyConfigSet.ts
+++ b/packages/records/src/config/applyConfigSet.ts
@@ -55,7 +55,7 @@
 
 /**
  * Deletes free rights whose model is no longer configured, so that the state stays bounded while models come and go.
- * A right whose grant is still delayed after a void is kept: without it a grant would be accepted too early.
+ * A right that was freed by a void and may not be granted yet is kept: it holds the time before which a grant is ignored.
  */
 const deleteObsoleteRights = (draft: Draft, service: ServiceName): void => {
   const { state } = draft
--- a/packages/records/src/config/types.ts
+++ b/packages/records/src/config/types.ts
@@ -46,7 +46,7 @@
   models: z.array(modelSpec).max(ConfigLimit.modelsPerService).default([]),
   /** Priority of each kind of caller, from 0 to 9; higher priorities are served first. Kinds not listed have 0. */
   priorities: z.record(name, z.int().min(0).max(ConfigLimit.priority)).default({}),
-  /** Weight of idle accelerator hours against tail cold-start time: 0 counts only the latter, 1 only the former. */
+  /** Weight of idle accelerator hours: 0 counts only the tail of cold-start times, 1 only idle hours. */
   idleCostWeight: z.number().min(0).max(1).default(0.5)
 }).refine(service => areDistinct(namesOf(service.models)), 'names of models to be distinct')
   .refine(service => service.kind === 'models' || service.models.length === 0, 'a plain service to have no models')
--- a/packages/records/src/fold/foldRecords.test.ts
+++ b/packages/records/src/fold/foldRecords.test.ts
@@ -32,7 +32,7 @@
   ({ kind: 'instance.void', recordId: `void-${instance}-${upToOffset}`, writer: 'r1' as InstanceName, instance: instance as InstanceName, upToOffset: upToOffset as LogOffset })
 
 describe('fold of configuration', () => {
-  it('ignores the loser of a race and names the version in force', () => {
+  it('ignores the later of two racing changes and names the version in force', () => {
     const record = setConfig('service/reader', 0, twoReplicaService, 'late')
     expect(lastReason(record)).to.equal('version 1 is in force, set by op; expected 0')
   })
@@ -148,7 +148,7 @@
   const death = (deathId: string, ...fingerprints: readonly string[]): LogRecord =>
     ({ kind: 'suspect.add', recordId: deathId, writer: a1, instance: a1, deathId, fingerprints })
 
-  it('convicts the only running request of the second death and clears an answered request', () => {
+  it('convicts a request that ran alone at its second engine death, and clears one that was answered', () => {
     const clear: LogRecord = { kind: 'suspect.clear', recordId: 'c', writer: a1, fingerprint: 'bystander' }
     const { state } = fold(death('d1', 'killer', 'bystander'), clear, death('d2', 'killer'))
     expect(classifySuspect(state, 'killer', 10)).to.equal('convicted')
--- a/packages/records/src/fold/foldRecords.ts
+++ b/packages/records/src/fold/foldRecords.ts
@@ -55,7 +55,7 @@
   const { state } = draft
   if (input.offset < state.nextOffset) return ignored('folded already')
   if (input.offset > state.nextOffset) return ignored(`records from ${state.nextOffset} on are missing`)
-  // The log's clock may step back but the state's must not, or the delay after a void could end twice.
+  // The log's clock may step back, but the state's must not: the delay after a void could otherwise end and begin again.
   draft.step((input.offset + 1) as LogOffset, Math.max(state.asOfMs, input.appendedAtMs))
   if ('unreadable' in input) return ignored(input.unreadable)
   if (input.record.kind === 'snapshot.chunk') return applied
--- a/packages/records/src/proposals/proposeMoves.ts
+++ b/packages/records/src/proposals/proposeMoves.ts
@@ -96,8 +96,9 @@
  * Proposes revokes that move slots from agents with overcommitted memory to less loaded ones. Overcommitment
  * arises when several routers grant the slots of a new configuration at the same moment, unaware of each
  * other, or when an instance joins after all slots were granted: some agents then constantly evict and
- * reload models while others stay empty. Only agents whose slots do not all fit give slots up, and every move
- * gains at least MIN_MOVE_GAIN, so moving terminates. A service that has ungranted or moving slots is skipped.
+ * reload models while others stay empty. Only agents whose slots do not all fit give slots up. After a move the
+ * receiver's memory pressure is at least MIN_MOVE_GAIN below the donor's before it, so moving terminates.
+ * A service that has ungranted or moving slots is skipped.
  */
 export const proposeMoves = (state: AgreedState, instances: readonly ListedInstance[], facts: MoveOptions): readonly NewRecord[] => {
   const records: NewRecord[] = []
--- a/packages/records/src/proposals/proposeRights.ts
+++ b/packages/records/src/proposals/proposeRights.ts
@@ -75,7 +75,7 @@
 const grantKeys = (round: Round, target: ModelId, rights: TargetRights, candidates: Candidates, holders: readonly AgentFacts[]): void => {
   const current = rights.keys
   if (isFull(round) || !isGrantable(round, current) || !round.facts.mayPropose(target)) return
-  // Preferred because the holder of a slot can permit its own runs without a request to another agent.
+  // An agent that holds a slot of the model is preferred: it can then permit its own runs without a request to another agent.
   const holder = holders.find(agent => candidates.includes(agent)) ??
     chooseHolder({ target, memoryMb: 0, candidates, holders: [], promised: new Map() })
   if (holder) grant(round, { key: { kind: 'keys', target }, current, memoryMb: 0 }, holder)
--- a/packages/records/src/rights/applyGrant.ts
+++ b/packages/records/src/rights/applyGrant.ts
@@ -51,8 +51,9 @@
 }
 
 /**
- * A right that is not in the state was never granted or was deleted with its model. Only version 1 of the service
- * rules out the latter, and with it that an earlier holder permitted any request keys.
+ * The `keysFromMs` of a newly granted `keys` right. A right that is not in the state was never granted or was deleted
+ * with its model. At version 1 of the service nothing can have been deleted, so no earlier holder permitted any request
+ * keys and the result is 0; at later versions an earlier holder is assumed.
  */
 const keysFromMsFor = (state: AgreedState, key: RightKey, known: RightState | undefined): number => {
   if (known) return known.keysFromMs
--- a/packages/records/src/suspects/constants.ts
+++ b/packages/records/src/suspects/constants.ts
@@ -2,8 +2,8 @@
 export const CONVICTION_WINDOW_MS = 600_000
 
 /**
- * How long a death counts against a suspect. Callers may resend a request that crashes engines for hours;
- * each time its deaths expire before that ends, it crashes one more engine.
+ * How long a death counts against a suspect. Callers may resend for hours a request that crashes engines; if
+ * its deaths expired within that time, it would crash more engines before it is convicted again.
  */
 export const DEATH_RETENTION_MS = 86_400_000
 
