--- a/packages/agent/src/agent/refusals.ts
+++ b/packages/agent/src/agent/refusals.ts
@@ -24,6 +24,7 @@
 /** The request ran and its answer was lost. */
 export const ran = (options: RefusalOptions): RefusalNote => makeRefusal(RunState.RAN, options)
 
+/** Whether the request ran is unknown. */
 export const mayHaveRun = (options: RefusalOptions): RefusalNote => makeRefusal(RunState.MAY_HAVE_RUN, options)
 
 const REASON_BY_KIND: Partial<Record<FaultKind, RefusalReason>> = {
--- a/packages/agent/src/attempts/types.ts
+++ b/packages/agent/src/attempts/types.ts
@@ -14,6 +14,7 @@
   readonly isOpen: () => boolean
 }
 
+/** `finished`: the answer is complete. `refused`: the attempt ended without a complete answer, or its stored answer was dropped. */
 export type AttemptPhase = 'waiting' | 'running' | 'finished' | 'refused'
 
 /** One run of one request. Only the attempt store changes it. */
--- a/packages/agent/src/loading/types.ts
+++ b/packages/agent/src/loading/types.ts
@@ -84,7 +84,8 @@
   readonly idleCostWeight: number
 }
 
+/** The confirmed result of an order. */
 export type OrderOutcome =
   | { readonly kind: 'done', readonly tookMs: number }
-  /** `inventory` is the engine's actual state. */
+  /** `inventory` shows that the order had no effect; the slot is updated from it. */
   | { readonly kind: 'notDone', readonly reason: string, readonly isStoreFull: boolean, readonly inventory: Inventory }
--- a/packages/agent/src/once/types.ts
+++ b/packages/agent/src/once/types.ts
@@ -26,6 +26,7 @@
   /** True if a recent read of the instance list contains this holder. */
   readonly isListed: boolean
   readonly draining: boolean
+  /** True if the ledger holds its maximum number of keys. */
   readonly isFull: boolean
 }
 
--- a/packages/records/src/rights/types.ts
+++ b/packages/records/src/rights/types.ts
@@ -13,6 +13,7 @@
 /** A right key as text: `replica:service/model:0` or `keys:service/model`. */
 export type RightId = string & { readonly __brand: 'RightId' }
 
+/** `revoked`: the holder gets no new work and has to release the right. `free`: no agent holds it. */
 export type RightStatus = 'granted' | 'revoked' | 'free'
 
 /** The state of one right. `fence` is the offset of its current or, if it is free, its last grant. */
--- a/packages/records/src/suspects/constants.ts
+++ b/packages/records/src/suspects/constants.ts
@@ -3,7 +3,7 @@
 
 /**
  * How long a death counts against a suspect. Callers may resend for hours a request that crashes engines; if
- * its deaths expired within that time, it would crash more engines before it is convicted again.
+ * its deaths expired within that time, it would crash one more engine after each expiry.
  */
 export const DEATH_RETENTION_MS = 86_400_000
 
