--- a/packages/agent/src/loading/judgeOrder.ts
+++ b/packages/agent/src/loading/judgeOrder.ts
@@ -7,7 +7,7 @@
 /** The state of an order according to an inventory. */
 export type OrderJudgement = 'done' | 'notDone' | 'open'
 
-const judgeAbsence = (order: EngineOrder, inventory: Inventory): OrderJudgement => {
+const judgeEffect = (order: EngineOrder, inventory: Inventory): OrderJudgement => {
   const resident = inventory.residents.find(({ model }) => model === order.model)
   switch (order.kind) {
     case 'load':
@@ -32,7 +32,7 @@
  * past which the engine must not start it, plus the transfer time.
  */
 export const judgeOrder = (order: EngineOrder, sentAtMs: number, inventory: Inventory, askedAtMs: number): OrderJudgement => {
-  const judged = judgeAbsence(order, inventory)
+  const judged = judgeEffect(order, inventory)
   if (judged !== 'notDone') return judged
   return askedAtMs - sentAtMs >= ORDER_DEADLINE_MS + ORDER_SETTLE_MS ? 'notDone' : 'open'
 }
--- a/packages/records/src/proposals/proposeMoves.test.ts
+++ b/packages/records/src/proposals/proposeMoves.test.ts
@@ -18,7 +18,7 @@
 const DAY_MS = 86_400_000
 const ROUND_LIMIT = 100
 
-const facts: MoveOptions = { mayPropose: () => true, isLoaded: () => false }
+const options: MoveOptions = { mayPropose: () => true, isLoaded: () => false }
 const listed = (names: readonly string[]) => names.map(name => ({ name: name as InstanceName, leaving: false }))
 
 let counter = 0
@@ -39,7 +39,7 @@
 /** Grants all rights while only some agents are up, as on a site before more runners are added. */
 const grantAllTo = (modelCount: number, memoryMb: number, present: readonly string[]): AgreedState => {
   const state = fold(emptyState, [setConfig('service/reader', 0, service(modelCount, memoryMb)), ...present.map(agent)])
-  return fold(state, proposeRights(state, listed(present), facts, DAY_MS))
+  return fold(state, proposeRights(state, listed(present), options, DAY_MS))
 }
 
 const release = (state: AgreedState, revokes: readonly NewRecord[]): readonly LogRecord[] =>
@@ -58,12 +58,12 @@
   let state = start
   let moveCount = 0
   for (let round = 0; round < ROUND_LIMIT; round += 1) {
-    const moves = proposeMoves(state, listed(AGENTS), facts)
+    const moves = proposeMoves(state, listed(AGENTS), options)
     if (moves.length === 0) return { state, moveCount }
     moveCount += moves.length
     const revoked = fold(state, moves)
     const freed = fold(revoked, release(revoked, moves))
-    state = fold(freed, proposeRights(freed, listed(AGENTS), facts, DAY_MS))
+    state = fold(freed, proposeRights(freed, listed(AGENTS), options, DAY_MS))
   }
   throw new Error('moves are still proposed after the last round')
 }
@@ -81,20 +81,20 @@
 
   it('are not proposed while all slots fit', () => {
     const state = fold(grantAllTo(8, 20, ['a1', 'a2']), [agent('a3'), agent('a4')])
-    expect(proposeMoves(state, listed(AGENTS), facts)).to.deep.equal([])
+    expect(proposeMoves(state, listed(AGENTS), options)).to.deep.equal([])
   })
 
   it('are not proposed until every slot is granted', () => {
     const state = fold(grantAllTo(20, 20, ['a1', 'a2']), [agent('a3')])
-    const moves = proposeMoves(state, listed(AGENTS), facts)
+    const moves = proposeMoves(state, listed(AGENTS), options)
     expect(moves).to.have.length(4)
-    expect(proposeMoves(fold(state, moves), listed(AGENTS), facts)).to.deep.equal([])
+    expect(proposeMoves(fold(state, moves), listed(AGENTS), options)).to.deep.equal([])
   })
 
   it('prefer slots that are not loaded', () => {
     const state = fold(grantAllTo(20, 20, ['a1', 'a2']), [agent('a3')])
     const coldModels = new Set(['reader/m4', 'reader/m7', 'reader/m11', 'reader/m13'])
-    const moves = proposeMoves(state, listed(AGENTS), { ...facts, isLoaded: (_, target) => !coldModels.has(target) })
+    const moves = proposeMoves(state, listed(AGENTS), { ...options, isLoaded: (_, target) => !coldModels.has(target) })
     const targets = moves.map(move => move.kind === 'right.revoke' && move.right.target)
     expect(new Set(targets)).to.deep.equal(coldModels)
   })
--- a/packages/records/src/proposals/proposeMoves.ts
+++ b/packages/records/src/proposals/proposeMoves.ts
@@ -40,7 +40,7 @@
 }
 
 const findMove = (
-  state: AgreedState, right: RightState, model: ModelSpec, candidates: Candidates, promised: Promised, facts: MoveOptions
+  state: AgreedState, right: RightState, model: ModelSpec, candidates: Candidates, promised: Promised, options: MoveOptions
 ): Move | undefined => {
   const from = state.agents.get(right.holder)
   if (!from || memoryPressureOf(promised, from) <= 1) return undefined
@@ -55,7 +55,7 @@
   if (!to || to.instance === from.instance) return undefined
   const promisedAfterMove = new Map(promisedWithoutSlot).set(to.instance, (promisedWithoutSlot.get(to.instance) ?? 0) + memoryMb)
   const gain = memoryPressureOf(promised, from) - memoryPressureOf(promisedAfterMove, to)
-  return gain < MIN_MOVE_GAIN ? undefined : { right, from, to, memoryMb, isLoaded: facts.isLoaded(from.instance, target), gain }
+  return gain < MIN_MOVE_GAIN ? undefined : { right, from, to, memoryMb, isLoaded: options.isLoaded(from.instance, target), gain }
 }
 
 // Moving a slot that is not loaded costs no load, so those go first; among equals the move with the largest gain wins.
@@ -65,24 +65,24 @@
   return move.gain > best.gain
 }
 
-const findBestMove = (state: AgreedState, service: ServiceName, candidates: Candidates, promised: Promised, facts: MoveOptions, moved: ReadonlySet<ModelId>): Move | undefined => {
+const findBestMove = (state: AgreedState, service: ServiceName, candidates: Candidates, promised: Promised, options: MoveOptions, moved: ReadonlySet<ModelId>): Move | undefined => {
   let best: Move | undefined
   for (const [target, model] of modelsOfService(state, service)) {
     if (moved.has(target)) continue
     for (const right of findReplicaRights(state, target)) {
-      const move = findMove(state, right, model, candidates, promised, facts)
+      const move = findMove(state, right, model, candidates, promised, options)
       if (move && isBetter(move, best)) best = move
     }
   }
   return best
 }
 
-const proposeServiceMoves = (state: AgreedState, service: ServiceName, candidates: Candidates, facts: MoveOptions): readonly NewRecord[] => {
+const proposeServiceMoves = (state: AgreedState, service: ServiceName, candidates: Candidates, options: MoveOptions): readonly NewRecord[] => {
   const promised = sumPromisedMemory(state)
   const moved = new Set<ModelId>()
   const records: NewRecord[] = []
   while (records.length < MAX_MOVES_PER_ROUND) {
-    const move = findBestMove(state, service, candidates, promised, facts, moved)
+    const move = findBestMove(state, service, candidates, promised, options, moved)
     if (!move) return records
     records.push({ kind: 'right.revoke', right: move.right.key, fence: move.right.fence })
     moved.add(move.right.key.target)
@@ -100,12 +100,12 @@
  * receiver's memory pressure is at least MIN_MOVE_GAIN below the donor's before it, so moving terminates.
  * A service that has ungranted or moving slots is skipped.
  */
-export const proposeMoves = (state: AgreedState, instances: readonly ListedInstance[], facts: MoveOptions): readonly NewRecord[] => {
+export const proposeMoves = (state: AgreedState, instances: readonly ListedInstance[], options: MoveOptions): readonly NewRecord[] => {
   const records: NewRecord[] = []
   for (const service of listServices(state)) {
-    if (findService(state, service)?.kind === 'plain' || !facts.mayPropose(`moves:${service}`)) continue
+    if (findService(state, service)?.kind === 'plain' || !options.mayPropose(`moves:${service}`)) continue
     const candidates = findCandidates(state, instances, service)
-    if (areAllSlotsGranted(state, service, candidates)) records.push(...proposeServiceMoves(state, service, candidates, facts))
+    if (areAllSlotsGranted(state, service, candidates)) records.push(...proposeServiceMoves(state, service, candidates, options))
   }
   return records
 }
--- a/packages/records/src/proposals/proposeRights.ts
+++ b/packages/records/src/proposals/proposeRights.ts
@@ -19,7 +19,7 @@
 interface Round {
   readonly state: AgreedState
   readonly nowMs: number
-  readonly facts: ProposalOptions
+  readonly options: ProposalOptions
   readonly maxCount: number
   readonly records: NewRecord[]
   /** Computed only when a slot can be granted: most rounds grant none. */
@@ -74,7 +74,7 @@
 
 const grantKeys = (round: Round, target: ModelId, rights: TargetRights, candidates: Candidates, holders: readonly AgentFacts[]): void => {
   const current = rights.keys
-  if (isFull(round) || !isGrantable(round, current) || !round.facts.mayPropose(target)) return
+  if (isFull(round) || !isGrantable(round, current) || !round.options.mayPropose(target)) return
   // An agent that holds a slot of the model is preferred: it can then permit its own runs without a request to another agent.
   const holder = holders.find(agent => candidates.includes(agent)) ??
     chooseHolder({ target, memoryMb: 0, candidates, holders: [], promised: new Map() })
@@ -86,7 +86,7 @@
   const grantable = findGrantableSlots(round, target, rights, model)
   if (grantable.length === 0 && !isGrantable(round, rights.keys)) return
   const holders = [...findHolders(round.state, rights)]
-  if (grantable.length > 0 && round.facts.mayPropose(target)) {
+  if (grantable.length > 0 && round.options.mayPropose(target)) {
     for (const right of grantable) {
       if (isFull(round)) return
       const holder = chooseHolder({ target, memoryMb: model.memoryMb, candidates, holders, promised: promisedMemoryOf(round) })
@@ -116,15 +116,15 @@
  * and it is proposed again. The caller must wait until its records are read back before the next round.
  */
 export const proposeRights = (
-  state: AgreedState, instances: readonly ListedInstance[], facts: ProposalOptions, nowMs: number
+  state: AgreedState, instances: readonly ListedInstance[], options: ProposalOptions, nowMs: number
 ): readonly NewRecord[] => {
   const round: Round = {
-    state, nowMs, facts, maxCount: facts.maxCount ?? MAX_PROPOSALS_PER_ROUND, records: [], promised: undefined
+    state, nowMs, options, maxCount: options.maxCount ?? MAX_PROPOSALS_PER_ROUND, records: [], promised: undefined
   }
   const leaving = new Set(instances.filter(instance => instance.leaving).map(instance => instance.name))
   for (const right of findRightsToRevoke(state, leaving)) {
     if (isFull(round)) break
-    if (facts.mayPropose(right.key.target)) revoke(round, right)
+    if (options.mayPropose(right.key.target)) revoke(round, right)
   }
   const candidates = groupCandidates(state, instances)
   for (const service of listServices(state)) {
--- a/packages/records/src/proposals/proposeVoids.ts
+++ b/packages/records/src/proposals/proposeVoids.ts
@@ -38,11 +38,11 @@
  * has been fenced. An engine that answers but does not enforce fences blocks the void: its agent may be cut off
  * from the log and could make it load a model again after any unload. Keeping the limit on replicas takes precedence.
  */
-export const proposeVoids = (state: AgreedState, absences: Absences, facts: VoidOptions): readonly NewRecord[] => {
+export const proposeVoids = (state: AgreedState, absences: Absences, options: VoidOptions): readonly NewRecord[] => {
   const voids: NewRecord[] = []
   for (const instance of findAbsent(state, absences)) {
     if (voids.length >= MAX_VOIDS_PER_ROUND) break
-    if (facts.engineOf(instance) === 'reachable' || !facts.mayPropose(instance)) continue
+    if (options.engineOf(instance) === 'reachable' || !options.mayPropose(instance)) continue
     voids.push({ kind: 'instance.void', instance, upToOffset: (state.nextOffset - 1) as LogOffset })
   }
   return voids
--- a/packages/router/src/proposals/types.ts
+++ b/packages/router/src/proposals/types.ts
@@ -5,5 +5,5 @@
  * decide which records take effect.
  */
 export type ProposeRights = (
-  state: AgreedState, instances: readonly ListedInstance[], facts: ProposalOptions & MoveOptions, nowMs: number
+  state: AgreedState, instances: readonly ListedInstance[], options: ProposalOptions & MoveOptions, nowMs: number
 ) => readonly NewRecord[]
